--- a/mountstand/batch/executor.py
+++ b/mountstand/batch/executor.py
@@ -313,7 +313,7 @@
         try:
             self._quarantine.check(content)
         except RequestQuarantined as error:
-            if self._quarantine.waits_for_trial(content):
+            if self._quarantine.requires_trial(content):
                 self._pause(held, item, error.retry_after_s or RETRY_PAUSE_S)
                 return DispatchOutcome.NEUTRAL
             self._record(held, item, ItemStatus.FAILED, error_line(item, ItemStatus.FAILED, error))
--- a/mountstand/online/dispatcher.py
+++ b/mountstand/online/dispatcher.py
@@ -31,7 +31,7 @@
 )
 from mountstand.online.request import OnlineRequest
 from mountstand.online.retry_budget import RetryBudget
-from mountstand.quarantine.suspect import CRASHES_TO_BLOCK, RETRY_TRIAL_S
+from mountstand.quarantine.suspect import CRASHES_TO_BLOCK, TRIAL_RETRY_AFTER_S
 from mountstand.quarantine.threads import ContentQuarantine
 from mountstand.routing.chooser import RouteRequest
 from mountstand.routing.fleet_view import DispatchOutcome
@@ -176,8 +176,8 @@
     def _refuse_suspect(self, request: OnlineRequest) -> None:
         """Raise ``RequestQuarantined`` unless a request may run beside other suspects."""
         self.check(request)
-        if self._quarantine.waits_for_trial(request.content_key):
-            raise self._quarantine.held_back(request.content_key, RETRY_TRIAL_S)
+        if self._quarantine.requires_trial(request.content_key):
+            raise self._quarantine.quarantined_error(request.content_key, TRIAL_RETRY_AFTER_S)
 
     def _choose(
         self, request: OnlineRequest, excluded: frozenset[str], last_error: MountstandError | None
--- a/mountstand/quarantine/reports.py
+++ b/mountstand/quarantine/reports.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterable
 
-from mountstand.quarantine.suspect import NEVER_S, NO_TRIALS, Trials, WorkerEnd
+from mountstand.quarantine.suspect import NEVER_S, NO_TRIALS, Trials, WorkerCrash
 from mountstand.quarantine.suspects import CrashSuspects
 from mountstand.wire.gossip import NEVER_SERVED, CrashReport, SuspectEntry
 
@@ -34,7 +34,7 @@
     return [
         entry.content
         for entry in report.suspects
-        if suspects.take(entry.content, *_times(entry, now_s))
+        if suspects.merge(entry.content, *_times(entry, now_s))
     ]
 
 
@@ -43,20 +43,20 @@
     served = suspect.served_at_s != NEVER_S
     return SuspectEntry(
         content,
-        tuple(suspect.end_by_worker),
-        tuple(_age_ms(now_s, end.at_s) for end in suspect.end_by_worker.values()),
-        tuple(round(end.ran_s * 1000) for end in suspect.end_by_worker.values()),
+        tuple(suspect.crash_by_worker),
+        tuple(_age_ms(now_s, end.at_s) for end in suspect.crash_by_worker.values()),
+        tuple(round(end.ran_s * 1000) for end in suspect.crash_by_worker.values()),
         _age_ms(now_s, suspect.served_at_s) if served else NEVER_SERVED,
         suspect.trials.count,
         _age_ms(now_s, suspect.trials.last_at_s) if suspect.trials.count else 0,
     )
 
 
-def _times(entry: SuspectEntry, now_s: float) -> tuple[dict[int, WorkerEnd], float, Trials]:
+def _times(entry: SuspectEntry, now_s: float) -> tuple[dict[int, WorkerCrash], float, Trials]:
     """Return the ends of workers, by their keys, when the content was served, and its trials."""
     told = zip(entry.workers, entry.ages_ms, entry.ran_ms, strict=False)
-    end_by_worker = {
-        worker: WorkerEnd(now_s - max(0, age_ms) / 1000, max(0, ran_ms) / 1000)
+    crash_by_worker = {
+        worker: WorkerCrash(now_s - max(0, age_ms) / 1000, max(0, ran_ms) / 1000)
         for worker, age_ms, ran_ms in told
     }
     served_at_s = NEVER_S
@@ -65,7 +65,7 @@
     trials = NO_TRIALS
     if entry.trials > 0:
         trials = Trials(entry.trials, now_s - max(0, entry.tried_ms) / 1000)
-    return end_by_worker, served_at_s, trials
+    return crash_by_worker, served_at_s, trials
 
 
 def _age_ms(now_s: float, at_s: float) -> int:
--- a/mountstand/quarantine/service.py
+++ b/mountstand/quarantine/service.py
@@ -79,7 +79,7 @@
         if not self.suspects:
             return False
         suspect = self.suspects.by_content.get(call.content_key)
-        return suspect is not None and bool(suspect.end_by_worker)
+        return suspect is not None and bool(suspect.crash_by_worker)
 
     def allows(self, call: Call, worker: Worker) -> bool:
         """Return whether a request may run at a worker beside what this daemon has there."""
@@ -88,7 +88,7 @@
         now_s = asyncio.get_running_loop().time()
         return self._separation.allows(call.content_key, worker.record.worker_id, now_s)
 
-    def waits_for_trial(self, call: Call) -> bool:
+    def requires_trial(self, call: Call) -> bool:
         """Return whether a request may run only where no other suspect does."""
         return self.suspects.any_on_trial and self.suspects.is_on_trial(call.content_key)
 
@@ -100,7 +100,7 @@
         of a content that was held back begins here, and holds it back everywhere else.
         """
         worker_id = worker.record.worker_id
-        if self.waits_for_trial(call):
+        if self.requires_trial(call):
             self._begin_trial(call, worker_id)
         entered = bool(self.suspects) and self._separation.enter(call.content_key, worker_id)
         try:
@@ -133,12 +133,12 @@
     ) -> None:
         """Suspect all contents that broke as a worker ended."""
         now_s = asyncio.get_running_loop().time()
-        self._sharing.note_ended(worker.key, ended_at_s, sent_at_s, now_s)
+        self._sharing.note_worker_crash(worker.key, ended_at_s, sent_at_s, now_s)
         self._wakened.set()
 
     # Other daemons and the store
 
-    def use_store(self, stored: StoredSuspects) -> None:
+    def attach_store(self, stored: StoredSuspects) -> None:
         """Keep suspects in the store, and take what its rows say."""
         self._stored = stored
         stored.on_news = self._note_stored
@@ -148,14 +148,14 @@
         self._sharing.handle(sender, message, asyncio.get_running_loop().time())
         self._wakened.set()
 
-    def ask(self) -> None:
+    def query_peers(self) -> None:
         """Ask other daemons what they know: this one starts, or stood still."""
-        self._sharing.ask()
+        self._sharing.query_peers()
         self._wakened.set()
 
     async def run(self) -> None:
         """Ask once, then tell again, remind and forget, until cancelled."""
-        self.ask()
+        self.query_peers()
         while True:
             if self._sharing.idle:
                 self._wakened.clear()
@@ -187,13 +187,13 @@
 
     def note_blocked(self, content: int, source: str) -> None:
         """Tell of a content that is held back from now on, and of what is known of it."""
-        end_by_worker = self.suspects.by_content[content].end_by_worker
+        crash_by_worker = self.suspects.by_content[content].crash_by_worker
         now_s = asyncio.get_running_loop().time()
         self._log.event(
             "request_quarantined",
             content=content_name(content),
-            ends=len(end_by_worker),
-            workers=sorted(end_by_worker),
+            ends=len(crash_by_worker),
+            workers=sorted(crash_by_worker),
             for_s=round(self.suspects.blocked_for_s(content, now_s), 1),
             trial=self.suspects.is_on_trial(content),
             source=source,
--- a/mountstand/quarantine/sharing.py
+++ b/mountstand/quarantine/sharing.py
@@ -13,7 +13,7 @@
 
 from mountstand.hashing import rendezvous_owner
 from mountstand.quarantine.reports import ENTRIES_PER_REPORT, reports_of, take_report
-from mountstand.quarantine.suspect import WorkerEnd
+from mountstand.quarantine.suspect import WorkerCrash
 from mountstand.quarantine.suspects import CrashSuspects
 from mountstand.wire.gossip import CrashQuery, CrashReport
 
@@ -90,7 +90,7 @@
         """Whether :meth:`tick` has nothing to do until something is heard."""
         return not self.suspects and not self._asks_left
 
-    def note_ended(
+    def note_worker_crash(
         self, worker: int, ended_at_s: float, sent_at_s: Mapping[int, float], now_s: float
     ) -> None:
         """Suspect the contents that broke as the worker with key ``worker`` ended.
@@ -99,8 +99,8 @@
         """
         news = []
         for content, sent_s in sorted(sent_at_s.items()):
-            end = WorkerEnd(ended_at_s, max(0.0, ended_at_s - sent_s))
-            if self.suspects.take(content, {worker: end}):
+            end = WorkerCrash(ended_at_s, max(0.0, ended_at_s - sent_s))
+            if self.suspects.merge(content, {worker: end}):
                 news.append(content)
         self._take_own(news, now_s)
 
@@ -139,7 +139,7 @@
         if take_report(self.suspects, message, now_s):
             self._update_blocked(sender, now_s)
 
-    def ask(self) -> None:
+    def query_peers(self) -> None:
         """Ask other daemons what they know, until one has answered or none does for long."""
         self._asks_left = MOST_ASKS
         self._ask_at_s = 0.0
@@ -188,7 +188,7 @@
         for content in contents:
             suspect = self.suspects.by_content.get(content)
             if suspect is not None:
-                is_weak = suspect.end_by_worker and not self.suspects.is_strong(content)
+                is_weak = suspect.crash_by_worker and not self.suspects.is_strong(content)
                 (weak if is_weak else strong).append(content)
         self._send(weak, self._link.serving(), now_s)
         self._send(strong, self._link.running(), now_s)
--- a/mountstand/quarantine/stored.py
+++ b/mountstand/quarantine/stored.py
@@ -12,13 +12,13 @@
 import orjson
 
 from mountstand.hashing import content_name
-from mountstand.quarantine.suspect import NEVER_S, WorkerEnd
+from mountstand.quarantine.suspect import NEVER_S, WorkerCrash
 from mountstand.quarantine.suspects import CrashSuspects
 from mountstand.store.rows import RowKey, RowStore, StoredRow, StoreError, Transaction
 from mountstand.store.watch import TableChange
 from mountstand.telemetry.decisions import DecisionLog
 
-SUSPECTS = "crash_suspects"
+SUSPECTS_TABLE = "crash_suspects"
 """The table; its rows are keyed by contents in hexadecimal digits."""
 
 ROWS_PER_WRITE = 20
@@ -104,7 +104,7 @@
         now_s = asyncio.get_running_loop().time()
         for content in contents:
             suspect = self._suspects.by_content.get(content)
-            if suspect is None or not suspect.end_by_worker:
+            if suspect is None or not suspect.crash_by_worker:
                 transaction.removals.append(_key(content))
                 continue
             ends = {
@@ -112,7 +112,7 @@
                     now_ms - round((now_s - end.at_s) * 1000),
                     round(end.ran_s * 1000),
                 ]
-                for worker, end in suspect.end_by_worker.items()
+                for worker, end in suspect.crash_by_worker.items()
             }
             transaction.puts.append((_key(content), orjson.dumps({"ends": ends})))
         self._unwritten.difference_update(contents)
@@ -128,11 +128,11 @@
             return False
         self._rows.add(content)
         ends = orjson.loads(row.value)["ends"]
-        end_by_worker = {
-            int(worker): WorkerEnd(now_s - self._age_s(at_ms), ran_ms / 1000)
+        crash_by_worker = {
+            int(worker): WorkerCrash(now_s - self._age_s(at_ms), ran_ms / 1000)
             for worker, (at_ms, ran_ms) in ends.items()
         }
-        return self._suspects.take(content, end_by_worker, NEVER_S)
+        return self._suspects.merge(content, crash_by_worker, NEVER_S)
 
     def _age_s(self, at_ms: int) -> float:
         """Return how long ago something was; while the store's clock is not known, no time ago."""
@@ -143,4 +143,4 @@
 
 
 def _key(content: int) -> RowKey:
-    return RowKey(SUSPECTS, "", content_name(content))
+    return RowKey(SUSPECTS_TABLE, "", content_name(content))
--- a/mountstand/quarantine/suspect.py
+++ b/mountstand/quarantine/suspect.py
@@ -21,13 +21,13 @@
 
 TRIAL_FACTOR = 4.0
 """Growth of that time with each trial, so that one whose end is not seen, such as of a worker
-behind a broken link, costs a worker after 2, 8, 32 seconds and so on, up to ``FIRST_BLOCK_S``."""
+behind a broken link, costs a worker after 2, 8, 32 seconds and so on, up to ``INITIAL_BLOCK_S``."""
 
 TRIAL_SPREAD_S = 0.3
 """Daemons begin to try a content at different moments within this time, so that the first has told
 the others when they are due."""
 
-RETRY_TRIAL_S = 0.5
+TRIAL_RETRY_AFTER_S = 0.5
 """When the caller of a content may come back that found no worker for its trial: what runs at those
 that are kept for other suspects ends meanwhile, or its own."""
 
@@ -45,7 +45,7 @@
 EVIDENCE_S = 600.0
 """How long an end counts. Callers that send a request again do so within seconds to minutes."""
 
-FIRST_BLOCK_S = 600.0
+INITIAL_BLOCK_S = 600.0
 """A block after three ends; each further end doubles it, up to five hours with ``MOST_ENDS``. What
 is blocked is tried again after that, since workers may have been mended meanwhile."""
 
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WorkerEnd:
+class WorkerCrash:
     """The end of a worker while it ran a content: when, and how long the run had lasted."""
 
     at_s: float
@@ -68,7 +68,7 @@
         return self.at_s - self.ran_s
 
 
-EndByWorker = Mapping[int, WorkerEnd]
+EndByWorker = Mapping[int, WorkerCrash]
 """Ends of workers by the workers' keys."""
 
 
@@ -87,58 +87,58 @@
 class Suspect:
     """What is known of one content: ends of workers by the workers' keys, service, and trials."""
 
-    end_by_worker: dict[int, WorkerEnd] = field(default_factory=dict)
+    crash_by_worker: dict[int, WorkerCrash] = field(default_factory=dict)
     served_at_s: float = NEVER_S
     trials: Trials = NO_TRIALS
 
     @property
     def is_strong(self) -> bool:
         """Whether so many workers ended under it that it is hardly chance."""
-        return len(self.end_by_worker) >= STRONG_ENDS
+        return len(self.crash_by_worker) >= STRONG_ENDS
 
     @property
     def last_end_s(self) -> float:
         """When a worker last ended under it."""
-        return max((end.at_s for end in self.end_by_worker.values()), default=NEVER_S)
+        return max((end.at_s for end in self.crash_by_worker.values()), default=NEVER_S)
 
     def is_cause(self, suspects_by_end: Mapping[int, int]) -> bool:
         """Return whether its ends tell a cause, given how many strong suspects were at each.
 
         They do if it was alone at all of them, or at one since it was tried.
         """
-        own = [end for key, end in self.end_by_worker.items() if suspects_by_end[key] == 1]
-        if len(own) == len(self.end_by_worker):
+        own = [end for key, end in self.crash_by_worker.items() if suspects_by_end[key] == 1]
+        if len(own) == len(self.crash_by_worker):
             return True
         return self.trials.count > 0 and any(end.at_s >= self.trials.last_at_s for end in own)
 
     @property
     def trial_at_s(self) -> float:
         """When it may be tried, held back for the time from its last end or trial on."""
-        held_s = min(FIRST_BLOCK_S, TRIAL_AFTER_S * TRIAL_FACTOR**self.trials.count)
+        held_s = min(INITIAL_BLOCK_S, TRIAL_AFTER_S * TRIAL_FACTOR**self.trials.count)
         return max(self.last_end_s, self.trials.last_at_s) + held_s
 
-    def take(
-        self, end_by_worker: EndByWorker, served_at_s: float, trials: Trials = NO_TRIALS
+    def merge(
+        self, crash_by_worker: EndByWorker, served_at_s: float, trials: Trials = NO_TRIALS
     ) -> bool:
         """Merge a statement; returns whether it said anything new."""
-        before = (set(self.end_by_worker), self.served_at_s, self.trials.count)
+        before = (set(self.crash_by_worker), self.served_at_s, self.trials.count)
         if served_at_s > self.served_at_s + CLOCK_SLACK_S:
             self.served_at_s = served_at_s
-        for worker, end in end_by_worker.items():
-            known = self.end_by_worker.get(worker, end)
-            self.end_by_worker[worker] = min(end, known, key=_end_time)
+        for worker, end in crash_by_worker.items():
+            known = self.crash_by_worker.get(worker, end)
+            self.crash_by_worker[worker] = min(end, known, key=_end_time)
         self.trials = max(self.trials, trials)
         self._drop_refuted()
-        while len(self.end_by_worker) > MOST_ENDS:
-            oldest = min(self.end_by_worker, key=lambda key: self.end_by_worker[key].at_s)
-            del self.end_by_worker[oldest]
-        return (set(self.end_by_worker), self.served_at_s, self.trials.count) != before
+        while len(self.crash_by_worker) > MOST_ENDS:
+            oldest = min(self.crash_by_worker, key=lambda key: self.crash_by_worker[key].at_s)
+            del self.crash_by_worker[oldest]
+        return (set(self.crash_by_worker), self.served_at_s, self.trials.count) != before
 
     def _drop_refuted(self) -> None:
         """Drop ends and trials before the last service: what was served caused no end."""
         refuted_s = self.served_at_s + CLOCK_SLACK_S
-        self.end_by_worker = {
-            worker: end for worker, end in self.end_by_worker.items() if end.at_s > refuted_s
+        self.crash_by_worker = {
+            worker: end for worker, end in self.crash_by_worker.items() if end.at_s > refuted_s
         }
         if self.trials.last_at_s <= refuted_s:
             self.trials = NO_TRIALS
@@ -146,10 +146,10 @@
 
 def block_s(ends: int) -> float:
     """Return how long a content is blocked after so many unexplained ends."""
-    return FIRST_BLOCK_S * 2.0 ** (min(ends, MOST_ENDS) - CRASHES_TO_BLOCK)
+    return INITIAL_BLOCK_S * 2.0 ** (min(ends, MOST_ENDS) - CRASHES_TO_BLOCK)
 
 
-def counted_ends(ends: Iterable[WorkerEnd]) -> int:
+def counted_ends(ends: Iterable[WorkerCrash]) -> int:
     """Return for how many ends some count, given which of their runs overlapped."""
     counted = 0
     overlapping = 0
@@ -163,5 +163,5 @@
     return counted
 
 
-def _end_time(end: WorkerEnd) -> float:
+def _end_time(end: WorkerCrash) -> float:
     return end.at_s
--- a/mountstand/quarantine/suspects.py
+++ b/mountstand/quarantine/suspects.py
@@ -93,13 +93,13 @@
     def begin_trial(self, content: int, now_s: float) -> None:
         """Note that a content that was held back is tried now; it is held back again meanwhile."""
         suspect = self.by_content[content]
-        suspect.take({}, NEVER_S, Trials(suspect.trials.count + 1, now_s))
+        suspect.merge({}, NEVER_S, Trials(suspect.trials.count + 1, now_s))
         self._judged = None
 
-    def take(
+    def merge(
         self,
         content: int,
-        end_by_worker: EndByWorker,
+        crash_by_worker: EndByWorker,
         served_at_s: float = NEVER_S,
         trials: Trials = NO_TRIALS,
     ) -> bool:
@@ -107,11 +107,11 @@
         suspect = self.by_content.get(content)
         if suspect is None:
             suspect = Suspect()
-            if not suspect.take(end_by_worker, served_at_s, trials):
+            if not suspect.merge(crash_by_worker, served_at_s, trials):
                 return False
             self.by_content[content] = suspect
             self._make_room()
-        elif not suspect.take(end_by_worker, served_at_s, trials):
+        elif not suspect.merge(crash_by_worker, served_at_s, trials):
             return False
         self._judged = None
         return True
@@ -119,9 +119,9 @@
     def note_served(self, content: int, now_s: float) -> bool:
         """Note that a content was served whole; returns whether it was suspected."""
         suspect = self.by_content.get(content)
-        if suspect is None or not suspect.end_by_worker:
+        if suspect is None or not suspect.crash_by_worker:
             return False
-        suspect.take({}, now_s)
+        suspect.merge({}, now_s)
         self._judged = None
         return True
 
@@ -146,7 +146,7 @@
         """Return when a content is forgotten if nothing new is heard of it."""
         suspect = self.by_content[content]
         told_s = max(suspect.last_end_s, suspect.served_at_s)
-        ends = len(suspect.end_by_worker)
+        ends = len(suspect.crash_by_worker)
         if ends < CRASHES_TO_BLOCK:
             return told_s + EVIDENCE_S
         return told_s + block_s(ends) + EVIDENCE_S
@@ -161,7 +161,7 @@
 
     def _strength(self, content: int) -> tuple[int, float]:
         suspect = self.by_content[content]
-        return len(suspect.end_by_worker), suspect.last_end_s
+        return len(suspect.crash_by_worker), suspect.last_end_s
 
     def _make_room(self) -> None:
         """Forget the weakest suspects once there are too many."""
--- a/mountstand/quarantine/threads.py
+++ b/mountstand/quarantine/threads.py
@@ -29,7 +29,7 @@
     SuspectObserver,
     SuspectSharing,
 )
-from mountstand.quarantine.suspect import NEVER_S, EndByWorker, WorkerEnd
+from mountstand.quarantine.suspect import NEVER_S, EndByWorker, WorkerCrash
 from mountstand.quarantine.suspects import CrashSuspects
 from mountstand.store.ports import Machine, Put, TablePort, Transaction
 from mountstand.telemetry.logs import log_state_change
@@ -90,7 +90,7 @@
             try:
                 content = int(row.key.removeprefix(KEY_PREFIX), 16)
                 ends_by_content[content] = {
-                    int(worker): WorkerEnd(float(at_s), float(ran_s))
+                    int(worker): WorkerCrash(float(at_s), float(ran_s))
                     for worker, (at_s, ran_s) in row.value["ends"].items()
                 }
             except (ValueError, KeyError, TypeError, AttributeError) as problem:
@@ -101,12 +101,12 @@
         """Write ends; a content without any loses its row. Raises ``StoreUnavailable``."""
         puts = []
         deletes = []
-        for content, end_by_worker in ends_by_content.items():
+        for content, crash_by_worker in ends_by_content.items():
             key = KEY_PREFIX + content_name(content)
-            if not end_by_worker:
+            if not crash_by_worker:
                 deletes.append(key)
                 continue
-            ends = {str(worker): [end.at_s, end.ran_s] for worker, end in end_by_worker.items()}
+            ends = {str(worker): [end.at_s, end.ran_s] for worker, end in crash_by_worker.items()}
             puts.append(Put(key=key, value={"ends": ends}))
         self._table.commit(Transaction(write_id=uuid.uuid4().hex, puts=puts, deletes=deletes))
 
@@ -148,7 +148,7 @@
     def start(self) -> None:
         """Ask other daemons and the table what they know, and go on telling."""
         with self._lock:
-            self._sharing.ask()
+            self._sharing.query_peers()
         for task in self._tasks:
             task.start()
 
@@ -165,14 +165,14 @@
         with self._lock:
             blocked_for_s = self.suspects.blocked_for_s(content, elapsed_s())
         if blocked_for_s:
-            raise self.held_back(content, blocked_for_s)
+            raise self.quarantined_error(content, blocked_for_s)
 
-    def held_back(self, content: int, retry_after_s: float) -> RequestQuarantined:
+    def quarantined_error(self, content: int, retry_after_s: float) -> RequestQuarantined:
         """Count a content that is not sent to a worker; return the error that says so."""
         self._metrics.requests_quarantined.inc()
         return RequestQuarantined(f"content {content_name(content)}", retry_after_s=retry_after_s)
 
-    def waits_for_trial(self, content: int) -> bool:
+    def requires_trial(self, content: int) -> bool:
         """Return whether a content may run only where no other suspect does."""
         if not self.suspects:
             return False
@@ -234,7 +234,7 @@
 
     def note_blocked(self, content: int, source: str) -> None:
         """Tell of a content that is held back from now on."""
-        ends = len(self.suspects.by_content[content].end_by_worker)
+        ends = len(self.suspects.by_content[content].crash_by_worker)
         log_state_change(
             logger, "request quarantined", content=content_name(content), ends=ends, source=source
         )
@@ -261,7 +261,9 @@
         with self._lock:
             sent_at_s = self._sent_at_s_by_machine.pop(machine.machine_id)
             if ended:
-                self._sharing.note_ended(end_key(machine), broke_at_s, sent_at_s, elapsed_s())
+                self._sharing.note_worker_crash(
+                    end_key(machine), broke_at_s, sent_at_s, elapsed_s()
+                )
         if ended:
             broken = len(sent_at_s)
             log_state_change(logger, "worker ended", worker=machine.machine_id, broken=broken)
@@ -292,19 +294,19 @@
             offset_s = elapsed_s() - time.time()
             for content, ends in ends_by_content.items():
                 self._kept.add(content)
-                self.suspects.take(content, moved(ends, offset_s), NEVER_S)
+                self.suspects.merge(content, moved(ends, offset_s), NEVER_S)
             self._sharing.note_stored(elapsed_s())
 
     def _ends_by_wall_clock(self, content: int) -> EndByWorker:
         suspect = self.suspects.by_content.get(content)
         if suspect is None:
             return {}
-        return moved(suspect.end_by_worker, time.time() - elapsed_s())
+        return moved(suspect.crash_by_worker, time.time() - elapsed_s())
 
 
-def moved(end_by_worker: EndByWorker, by_s: float) -> EndByWorker:
+def moved(crash_by_worker: EndByWorker, by_s: float) -> EndByWorker:
     """Return ends on a clock that shows ``by_s`` seconds more."""
-    return {w: WorkerEnd(end.at_s + by_s, end.ran_s) for w, end in end_by_worker.items()}
+    return {w: WorkerCrash(end.at_s + by_s, end.ran_s) for w, end in crash_by_worker.items()}
 
 
 def end_key(machine: Machine) -> int:
--- a/mountstand/quarantine/verdicts.py
+++ b/mountstand/quarantine/verdicts.py
@@ -38,7 +38,7 @@
         """Decide anew what is blocked; those with the most ends are judged first."""
         contents_by_ends: dict[int, list[int]] = {}
         for content, suspect in self._by_content.items():
-            ends = len(suspect.end_by_worker)
+            ends = len(suspect.crash_by_worker)
             if ends >= CRASHES_TO_BLOCK:
                 contents_by_ends.setdefault(ends, []).append(content)
         explained: set[int] = set()
@@ -53,7 +53,7 @@
         if not self.blocked_until_s:
             return
         strong = (each for each in self._by_content.values() if each.is_strong)
-        suspects_by_end = Counter(end for each in strong for end in each.end_by_worker)
+        suspects_by_end = Counter(end for each in strong for end in each.crash_by_worker)
         for content in self.blocked_until_s:
             if not self._by_content[content].is_cause(suspects_by_end):
                 self._hold(content)
@@ -81,8 +81,8 @@
         """Judge contents with equally many ends; returns the ends that the blocked ones explain."""
         blocked: dict[int, int] = {}
         for content in contents:
-            end_by_worker = self._by_content[content].end_by_worker
-            ends = counted_ends(end_by_worker[w] for w in end_by_worker.keys() - explained)
+            crash_by_worker = self._by_content[content].crash_by_worker
+            ends = counted_ends(crash_by_worker[w] for w in crash_by_worker.keys() - explained)
             if ends >= CRASHES_TO_BLOCK:
                 blocked[content] = ends
         for content in self._explained_together(blocked):
@@ -91,7 +91,7 @@
         for content, ends in blocked.items():
             suspect = self._by_content[content]
             self.blocked_until_s[content] = suspect.last_end_s + block_s(ends)
-            newly |= suspect.end_by_worker.keys()
+            newly |= suspect.crash_by_worker.keys()
         return newly
 
     def _explained_together(self, contents: Iterable[int]) -> set[int]:
@@ -103,7 +103,9 @@
 
         All have equally many ends, so one with other ends has an end of its own.
         """
-        ends_by_content = {key: frozenset(self._by_content[key].end_by_worker) for key in contents}
+        ends_by_content = {
+            key: frozenset(self._by_content[key].crash_by_worker) for key in contents
+        }
         counts_by_end: defaultdict[int, Counter[frozenset[int]]] = defaultdict(Counter)
         for ends in ends_by_content.values():
             for end in ends:
--- a/mountstand/serving/forwarder.py
+++ b/mountstand/serving/forwarder.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from mountstand.quarantine.service import RequestQuarantine
-from mountstand.quarantine.suspect import RETRY_TRIAL_S
+from mountstand.quarantine.suspect import TRIAL_RETRY_AFTER_S
 from mountstand.serving.batch_room import BatchRoom
 from mountstand.serving.configuration import Route, ShareChooser
 from mountstand.serving.connections import WorkerConnections
@@ -123,7 +123,7 @@
             separate = self._separate(exchange, worker)
             if separate is None:
                 # It may run alone only, and there is no worker for that.
-                self._refuse_for_content(exchange, worker, RETRY_TRIAL_S)
+                self._refuse_for_content(exchange, worker, TRIAL_RETRY_AFTER_S)
                 return
             worker = separate
             with self._quarantine.running(exchange.call, worker):
@@ -192,7 +192,7 @@
             lambda each: self._quarantine.allows(call, each),
         )
         if other is None:
-            return None if self._quarantine.waits_for_trial(call) else worker
+            return None if self._quarantine.requires_trial(call) else worker
         other.in_flight += 1
         self._free_slot(worker)
         return other
--- a/mountstand/serving_feeds.py
+++ b/mountstand/serving_feeds.py
@@ -9,7 +9,7 @@
 
 from mountstand.jobs.repository import HEADS, partitions
 from mountstand.membership.registry import DAEMONS, DaemonRegistry
-from mountstand.quarantine.stored import SUSPECTS
+from mountstand.quarantine.stored import SUSPECTS_TABLE
 from mountstand.serving.feeds import ConfigurationSource
 from mountstand.serving_settings import ServingSettings, SocketAddress
 from mountstand.store.peer_tables import PeerAddresses, PeerTables
@@ -86,7 +86,7 @@
         self.workers = shared(source.workers_table, targets.apply_workers)
         self.daemons = shared(DAEMONS, targets.registry.apply)
         self.daemons.pause_s = DAEMONS_PAUSE_S
-        self.suspects = shared(SUSPECTS, targets.apply_suspects)
+        self.suspects = shared(SUSPECTS_TABLE, targets.apply_suspects)
         self.suspects.wait_s = SUSPECTS_WAIT_S
         self.jobs = TableWatcher(store, HEADS, partitions(), targets.apply_jobs, log)
         self._known_peers = KnownPeers(settings, targets.registry)
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -159,7 +159,7 @@
             self.room,
             self.load_sharing,
             log,
-            self.quarantine.ask,
+            self.quarantine.query_peers,
         )
         self.queue.lending = self._lending = SlotLending(
             self.directory, settings.name, MembershipMessageLink(self.membership), source_of_chance
@@ -203,7 +203,7 @@
         self._stored_suspects = StoredSuspects(
             self.quarantine.suspects, store, self._store_now_ms, log
         )
-        self.quarantine.use_store(self._stored_suspects)
+        self.quarantine.attach_store(self._stored_suspects)
         workers_state = WorkersState(source, self.directory, log)
         self.feeds = ServingFeeds(
             store,
--- a/tests/model/quarantine_fleet.py
+++ b/tests/model/quarantine_fleet.py
@@ -189,7 +189,7 @@
             sent = {run.content: run.sent_at_s for run in runs if run.daemon is daemon}
             self.clock.after(
                 DETECT_S,
-                lambda daemon=daemon, sent=sent: daemon.sharing.note_ended(
+                lambda daemon=daemon, sent=sent: daemon.sharing.note_worker_crash(
                     worker.key, broke_at_s, sent, self.clock.now_s
                 ),
             )
--- a/tests/quarantine/test_service.py
+++ b/tests/quarantine/test_service.py
@@ -9,8 +9,8 @@
 from testtools import TestCase
 
 from mountstand.quarantine.service import RequestQuarantine
-from mountstand.quarantine.stored import MOST_ROWS, SUSPECTS, StoredSuspects
-from mountstand.quarantine.suspect import EVIDENCE_S, FIRST_BLOCK_S
+from mountstand.quarantine.stored import MOST_ROWS, SUSPECTS_TABLE, StoredSuspects
+from mountstand.quarantine.suspect import EVIDENCE_S, INITIAL_BLOCK_S
 from mountstand.serving.connections import WorkerConnections
 from mountstand.serving.worker import Worker, WorkerRecord
 from mountstand.serving.worker_ends import WorkerEnds
@@ -58,7 +58,7 @@
 
     def store_rows(self) -> list[str]:
         """Return the keys of the rows that are kept."""
-        return [key.key for key in self.store.rows if key.table == SUSPECTS]
+        return [key.key for key in self.store.rows if key.table == SUSPECTS_TABLE]
 
     def blocking(self) -> list[str]:
         """Return the daemons that hold the culprit back."""
@@ -88,8 +88,8 @@
         stored = StoredSuspects(
             self.quarantine.suspects, network.store, lambda: int(loop.time() * 1000), self.log
         )
-        self.quarantine.use_store(stored)
-        watcher = TableWatcher(network.store, SUSPECTS, [""], stored.apply, self.log)
+        self.quarantine.attach_store(stored)
+        watcher = TableWatcher(network.store, SUSPECTS_TABLE, [""], stored.apply, self.log)
         runs = (self.quarantine.run(), stored.run(), watcher.run())
         self.tasks = [asyncio.create_task(run) for run in runs]
 
@@ -206,7 +206,7 @@
             await asyncio.sleep(1.0)
             self.assertEqual(["a", "b", "c", "d"], network.blocking())
             left_s = network.by_name["a"].quarantine.blocked_for_s(CULPRIT)
-            self.assertTrue(FIRST_BLOCK_S - 50 < left_s < FIRST_BLOCK_S - 30, left_s)
+            self.assertTrue(INITIAL_BLOCK_S - 50 < left_s < INITIAL_BLOCK_S - 30, left_s)
 
         self.play(work)
 
@@ -245,7 +245,7 @@
                 network.by_name["a"].sees_end(number)
             await asyncio.sleep(1.0)
             self.assertEqual(1, len(network.store_rows()))
-            await asyncio.sleep(FIRST_BLOCK_S + EVIDENCE_S + 10)
+            await asyncio.sleep(INITIAL_BLOCK_S + EVIDENCE_S + 10)
             self.assertEqual([], network.store_rows())
             self.assertFalse(network.by_name["b"].quarantine.suspects)
 
@@ -253,9 +253,9 @@
 
     def test_a_row_that_cannot_be_read_is_passed_over(self) -> None:
         async def work(network: Network) -> None:
-            key = RowKey(SUSPECTS, "", "no number")
+            key = RowKey(SUSPECTS_TABLE, "", "no number")
             await network.store.commit(Transaction(puts=[(key, b"{}")]))
-            other = RowKey(SUSPECTS, "", "00ff")
+            other = RowKey(SUSPECTS_TABLE, "", "00ff")
             await network.store.commit(Transaction(puts=[(other, b"[1]")]))
             for number in range(3):
                 network.by_name["a"].sees_end(number)
@@ -288,7 +288,7 @@
                 network.by_name["a"].sees_end(number)
             loop = asyncio.get_running_loop()
             assert isinstance(loop, PausedClockLoop)
-            loop.advance(FIRST_BLOCK_S + 1)
+            loop.advance(INITIAL_BLOCK_S + 1)
             self.assertEqual([], network.blocking())
 
         self.play(work)
--- a/tests/quarantine/test_suspects.py
+++ b/tests/quarantine/test_suspects.py
@@ -13,12 +13,12 @@
 from mountstand.quarantine.suspect import (
     CRASHES_TO_BLOCK,
     EVIDENCE_S,
-    FIRST_BLOCK_S,
+    INITIAL_BLOCK_S,
     MOST_ENDS,
     TRIAL_AFTER_S,
     TRIAL_FACTOR,
     TRIAL_SPREAD_S,
-    WorkerEnd,
+    WorkerCrash,
     block_s,
     counted_ends,
 )
@@ -35,7 +35,7 @@
     suspects = CrashSuspects()
     for worker, contents in enumerate(ends):
         for content in contents:
-            suspects.take(content, {worker: WorkerEnd(START_S + worker * gap_s, RAN_S)})
+            suspects.merge(content, {worker: WorkerCrash(START_S + worker * gap_s, RAN_S)})
     return suspects
 
 
@@ -44,12 +44,12 @@
         two = after_ends([CULPRIT], [CULPRIT])
         self.assertEqual(0.0, two.blocked_for_s(CULPRIT, START_S + 2))
         three = after_ends([CULPRIT], [CULPRIT], [CULPRIT])
-        self.assertEqual(FIRST_BLOCK_S, three.blocked_for_s(CULPRIT, START_S + 2))
+        self.assertEqual(INITIAL_BLOCK_S, three.blocked_for_s(CULPRIT, START_S + 2))
 
     def test_an_end_that_is_told_again_counts_once(self) -> None:
         suspects = CrashSuspects()
         for _ in range(5):
-            suspects.take(CULPRIT, {7: WorkerEnd(START_S)})
+            suspects.merge(CULPRIT, {7: WorkerCrash(START_S)})
         self.assertEqual(0.0, suspects.blocked_for_s(CULPRIT, START_S))
 
     def test_requests_that_ran_beside_it_are_not_blocked(self) -> None:
@@ -80,9 +80,9 @@
         self.assertTrue(suspects.is_on_trial(CULPRIT), "since the other was at two of its ends")
         for content, worker in ((CULPRIT, 10), (THIRD, 11)):
             suspects.begin_trial(content, START_S + 7)
-            suspects.take(content, {worker: WorkerEnd(START_S + 7.1, RAN_S)})
+            suspects.merge(content, {worker: WorkerCrash(START_S + 7.1, RAN_S)})
         self.assertEqual({CULPRIT, THIRD}, suspects.blocked_contents(START_S + 500))
-        suspects.take(OTHER, {9: WorkerEnd(START_S + 9, RAN_S)})
+        suspects.merge(OTHER, {9: WorkerCrash(START_S + 9, RAN_S)})
         self.assertTrue(suspects.is_on_trial(OTHER))
 
     def test_contents_that_were_always_together_are_all_blocked(self) -> None:
@@ -101,12 +101,12 @@
         """A content that is asked for often ran at all workers of a service, whose rack failed."""
         suspects = after_ends(*[[OTHER]] * 6, gap_s=0.005)
         self.assertEqual(set(), suspects.blocked_contents(START_S + 1))
-        suspects.take(OTHER, {9: WorkerEnd(START_S + 2)})
+        suspects.merge(OTHER, {9: WorkerCrash(START_S + 2)})
         self.assertEqual({OTHER}, suspects.blocked_contents(START_S + 2))
 
     def test_ends_that_count(self) -> None:
-        def ends(*spans: tuple[float, float]) -> list[WorkerEnd]:
-            return [WorkerEnd(at_s, at_s - began_s) for began_s, at_s in spans]
+        def ends(*spans: tuple[float, float]) -> list[WorkerCrash]:
+            return [WorkerCrash(at_s, at_s - began_s) for began_s, at_s in spans]
 
         cases = {
             "none": (0, ends()),
@@ -122,8 +122,8 @@
     def test_a_late_word_of_an_end_before_service_changes_nothing(self) -> None:
         suspects = after_ends([OTHER], [OTHER])
         suspects.note_served(OTHER, START_S + 5)
-        late = {worker: WorkerEnd(START_S + worker) for worker in range(3)}
-        self.assertFalse(suspects.take(OTHER, late))
+        late = {worker: WorkerCrash(START_S + worker) for worker in range(3)}
+        self.assertFalse(suspects.merge(OTHER, late))
         self.assertEqual(set(), suspects.blocked_contents(START_S + 5))
 
 
@@ -151,7 +151,7 @@
         """Let the first of some contents be tried, and a worker end under all of them."""
         self.suspects.begin_trial(contents[0], self.HELD_S)
         for content in contents:
-            self.suspects.take(content, {worker: WorkerEnd(self.HELD_S + RAN_S, RAN_S)})
+            self.suspects.merge(content, {worker: WorkerCrash(self.HELD_S + RAN_S, RAN_S)})
 
     def test_held_back_for_a_moment_only(self) -> None:
         self.assertEqual({OTHER}, self.suspects.blocked_contents(self.EARLIEST_S - 0.1))
@@ -196,7 +196,7 @@
             suspects = CrashSuspects(name)
             for worker, contents in enumerate(self.ENDS):
                 for content in contents:
-                    suspects.take(content, {worker: WorkerEnd(START_S + worker, RAN_S)})
+                    suspects.merge(content, {worker: WorkerCrash(START_S + worker, RAN_S)})
             trial_at_s.add(suspects.blocked_for_s(OTHER, START_S + 2))
         self.assertEqual(3, len(trial_at_s))
         self.assertTrue(max(trial_at_s) <= TRIAL_AFTER_S + TRIAL_SPREAD_S, trial_at_s)
@@ -231,31 +231,31 @@
 class Lifetime(TestCase):
     def test_a_block_ends_and_doubles_with_the_next_crash(self) -> None:
         suspects = after_ends([CULPRIT], [CULPRIT], [CULPRIT])
-        trial_s = START_S + 2 + FIRST_BLOCK_S
+        trial_s = START_S + 2 + INITIAL_BLOCK_S
         self.assertEqual(0.0, suspects.blocked_for_s(CULPRIT, trial_s))
-        suspects.take(CULPRIT, {9: WorkerEnd(trial_s)})
-        self.assertEqual(2 * FIRST_BLOCK_S, suspects.blocked_for_s(CULPRIT, trial_s))
+        suspects.merge(CULPRIT, {9: WorkerCrash(trial_s)})
+        self.assertEqual(2 * INITIAL_BLOCK_S, suspects.blocked_for_s(CULPRIT, trial_s))
 
     def test_blocks_stop_growing(self) -> None:
         suspects = after_ends(*[[CULPRIT]] * (MOST_ENDS + 5))
         last_s = START_S + MOST_ENDS + 4
         self.assertEqual(block_s(MOST_ENDS), suspects.blocked_for_s(CULPRIT, last_s))
-        self.assertEqual(MOST_ENDS, len(suspects.by_content[CULPRIT].end_by_worker))
+        self.assertEqual(MOST_ENDS, len(suspects.by_content[CULPRIT].crash_by_worker))
 
     def test_forgotten_when_nothing_is_heard_for_long(self) -> None:
         suspects = after_ends([OTHER, CULPRIT], [CULPRIT], [CULPRIT])
         suspects.expire(START_S + EVIDENCE_S + 1)
         self.assertEqual([CULPRIT], list(suspects.by_content))
-        suspects.expire(START_S + 2 + FIRST_BLOCK_S + EVIDENCE_S)
+        suspects.expire(START_S + 2 + INITIAL_BLOCK_S + EVIDENCE_S)
         self.assertFalse(suspects)
         self.assertFalse(suspects.any_blocked)
 
     def test_memory_is_bounded_and_the_strongest_stay(self) -> None:
         suspects = CrashSuspects(most=100)
         for worker in range(CRASHES_TO_BLOCK):
-            suspects.take(CULPRIT, {worker: WorkerEnd(START_S + worker)})
+            suspects.merge(CULPRIT, {worker: WorkerCrash(START_S + worker)})
         for content in range(1000, 5000):
-            suspects.take(content, {99: WorkerEnd(START_S + content)})
+            suspects.merge(content, {99: WorkerCrash(START_S + content)})
             self.assertTrue(len(suspects.by_content) <= 100)
         self.assertEqual({CULPRIT}, suspects.blocked_contents(START_S + 3))
 
@@ -265,7 +265,7 @@
         rng = random.Random(5)
         contents = [CULPRIT, OTHER, THIRD, 10, 11, 12]
         statements = [
-            (content, {worker: WorkerEnd(START_S + worker)})
+            (content, {worker: WorkerCrash(START_S + worker)})
             for worker in range(9)
             for content in rng.sample(contents, 3)
         ]
@@ -273,15 +273,15 @@
         for _ in range(50):
             rng.shuffle(statements)
             suspects = CrashSuspects()
-            for content, end_by_worker in statements:
-                suspects.take(content, end_by_worker)
+            for content, crash_by_worker in statements:
+                suspects.merge(content, crash_by_worker)
             blocked = suspects.blocked_contents(START_S + 9)
             verdicts.add(tuple(sorted((c, suspects.blocked_for_s(c, START_S)) for c in blocked)))
         self.assertEqual(1, len(verdicts))
 
     def test_a_report_says_the_same_on_another_clock(self) -> None:
         told = after_ends([CULPRIT], [CULPRIT], [CULPRIT])
-        told.take(OTHER, {5: WorkerEnd(START_S)})
+        told.merge(OTHER, {5: WorkerCrash(START_S)})
         told.note_served(OTHER, START_S + 2)
         heard = CrashSuspects()
         bodies = GossipBodies()
@@ -289,14 +289,14 @@
         decoded = bodies.decode(*bodies.encode(report))
         assert isinstance(decoded, CrashReport)
         self.assertEqual([CULPRIT, OTHER], take_report(heard, decoded, 500.0))
-        self.assertEqual(FIRST_BLOCK_S - 8, heard.blocked_for_s(CULPRIT, 500.0))
+        self.assertEqual(INITIAL_BLOCK_S - 8, heard.blocked_for_s(CULPRIT, 500.0))
         self.assertEqual(492.0, heard.by_content[OTHER].served_at_s)
         self.assertEqual([], take_report(heard, decoded, 500.2))
 
     def test_reports_fit_a_datagram(self) -> None:
         suspects = CrashSuspects()
         for content, worker in itertools.product(range(2**63, 2**63 + 100), range(MOST_ENDS)):
-            suspects.take(content, {2**32 - 1 - worker: WorkerEnd(START_S - 500, 70.0)})
+            suspects.merge(content, {2**32 - 1 - worker: WorkerCrash(START_S - 500, 70.0)})
         reports = reports_of(suspects, suspects.strongest(), START_S + 600)
         self.assertEqual(100, sum(len(report.suspects) for report in reports))
         sizes = [len(GossipBodies().encode(report)[1]) for report in reports]
--- a/tests/quarantine/test_threads.py
+++ b/tests/quarantine/test_threads.py
@@ -77,7 +77,7 @@
 
     def ends(self, quarantine: ContentQuarantine) -> int:
         suspect = quarantine.suspects.by_content.get(BAD)
-        return len(suspect.end_by_worker) if suspect else 0
+        return len(suspect.crash_by_worker) if suspect else 0
 
     def is_blocked(self, quarantine: ContentQuarantine, content: int = BAD) -> bool:
         try:
--- a/tests/serving/test_held_back.py
+++ b/tests/serving/test_held_back.py
@@ -8,7 +8,7 @@
 from testtools import TestCase
 
 from mountstand.quarantine.separation import SuspectSeparation
-from mountstand.quarantine.suspect import WorkerEnd
+from mountstand.quarantine.suspect import WorkerCrash
 from mountstand.quarantine.suspects import CrashSuspects
 from mountstand.serving.configuration import RequestKind, Route
 from mountstand.serving.worker_protocol import Call
@@ -28,7 +28,9 @@
     now_s = asyncio.get_running_loop().time()
     for key in (1, 2, 3):
         at_s = now_s - 3 + key
-        front.fleet.quarantine._sharing.note_ended(key, at_s, {ANY_TRY.content_key: at_s}, now_s)
+        front.fleet.quarantine._sharing.note_worker_crash(
+            key, at_s, {ANY_TRY.content_key: at_s}, now_s
+        )
 
 
 class CrashingFront(Front):
@@ -128,7 +130,7 @@
                 await eventually(
                     lambda: (
                         key in suspects.by_content
-                        and len(suspects.by_content[key].end_by_worker) == expected
+                        and len(suspects.by_content[key].crash_by_worker) == expected
                     ),
                     f"{expected} ends on {used.name}",
                 )
@@ -152,7 +154,7 @@
                 self.assertEqual((200, True), (status, complete))
                 self.assertEqual(b"".join(event(n) for n in range(1, 9)), got)
                 suspect = front.fleet.quarantine.suspects.by_content.get(ANY_TRY.content_key)
-                self.assertEqual({}, suspect.end_by_worker if suspect else {})
+                self.assertEqual({}, suspect.crash_by_worker if suspect else {})
 
         run(scenario())
 
@@ -170,7 +172,7 @@
                 await eventually(lambda: front.fleet.quarantine.suspects, "its end is seen")
                 asking.cancel()
                 suspect = front.fleet.quarantine.suspects.by_content[ANY_TRY.content_key]
-                self.assertEqual(1, len(suspect.end_by_worker))
+                self.assertEqual(1, len(suspect.crash_by_worker))
 
         run(scenario())
 
@@ -194,7 +196,7 @@
                 now_s = asyncio.get_running_loop().time()
                 sent_at_s = {ANY_TRY.content_key: now_s, other.content_key: now_s}
                 for worker_key in (1, 2):
-                    fleet.quarantine._sharing.note_ended(worker_key, now_s, sent_at_s, now_s)
+                    fleet.quarantine._sharing.note_worker_crash(worker_key, now_s, sent_at_s, now_s)
                 kept = [
                     worker
                     for worker in fleet.directory.workers.values()
@@ -220,7 +222,7 @@
             suspects = CrashSuspects()
             for content in (7, 8, 9):
                 for worker_key in (1, 2):
-                    suspects.take(content, {worker_key: WorkerEnd(100.0, 0.1)})
+                    suspects.merge(content, {worker_key: WorkerCrash(100.0, 0.1)})
             separations.append(SuspectSeparation(suspects))
         for worker in workers:
             allowed = {
@@ -236,7 +238,7 @@
         suspects = CrashSuspects()
         for content in range(30):
             for worker_key in (1, 2):
-                suspects.take(content, {worker_key: WorkerEnd(100.0, 0.1)})
+                suspects.merge(content, {worker_key: WorkerCrash(100.0, 0.1)})
         separation = SuspectSeparation(suspects)
         self.assertTrue(all(separation.allows(content, "w1", 100.3) for content in range(30)))
 
@@ -244,7 +246,7 @@
         suspects = CrashSuspects()
         for content in (7, 8):
             for worker_key in (1, 2):
-                suspects.take(content, {worker_key: WorkerEnd(100.0, 0.1)})
+                suspects.merge(content, {worker_key: WorkerCrash(100.0, 0.1)})
         separation = SuspectSeparation(suspects)
         kept = [n for n in range(6) if separation.allows(7, f"w{n}", 101.0)]
         self.assertTrue(len(kept) < 6, kept)
--- a/tests/serving/test_suspended.py
+++ b/tests/serving/test_suspended.py
@@ -17,7 +17,7 @@
 from mountstand.errors import Overloaded
 from mountstand.online.admission import MIN_LIMIT
 from mountstand.online.admission_gate import AdmissionGate
-from mountstand.quarantine.suspect import FIRST_BLOCK_S
+from mountstand.quarantine.suspect import INITIAL_BLOCK_S
 from mountstand.serving.configuration import RequestKind
 from mountstand.store.memory_rows import MemoryRowStore
 from mountstand.store.rows import RowKey, Transaction
@@ -102,7 +102,7 @@
         async def work(machine: SuspendedMachine) -> bool:
             async with Front(REPEATABLE, (whole(),)) as front:
                 block(front)
-                machine.suspend(FIRST_BLOCK_S)
+                machine.suspend(INITIAL_BLOCK_S)
                 return front.fleet.quarantine.blocked_for_s(ANY_TRY) == 0
 
         self.check(work, slept=True, unnoticed=False)
