--- a/mountstand/platform/ingress.py
+++ b/mountstand/platform/ingress.py
@@ -17,7 +17,7 @@
 from mountstand.platform import names
 from mountstand.platform.worker_protocol import parse_prompt
 from mountstand.serving.configuration import Configuration, RequestKind, Route
-from mountstand.serving.forwarder import RETRY_UNAVAILABLE_S
+from mountstand.serving.forwarder import RETRY_AFTER_UNAVAILABLE_S
 from mountstand.serving.worker_protocol import Call
 from mountstand.serving_node import ServingNode
 from mountstand.store.rows import StoreError
@@ -71,7 +71,7 @@
         configuration = self._node.configuration
         addresses = self._node.callers.addresses(configuration, host, zone) if configuration else []
         if not addresses:
-            refuse(responder, RETRY_UNAVAILABLE_S)
+            refuse(responder, RETRY_AFTER_UNAVAILABLE_S)
             return
         ttl_s = min(RESOLVE_TTL_S, self._node.settings.resolve_ttl_max_s)
         answer = {"addresses": addresses, "ttl_s": ttl_s}
@@ -81,7 +81,7 @@
         """Route one request of a caller."""
         configuration = self._node.configuration
         if configuration is None:
-            refuse(responder, RETRY_UNAVAILABLE_S)
+            refuse(responder, RETRY_AFTER_UNAVAILABLE_S)
             return
         try:
             await self._dispatch(configuration, request, responder)
@@ -208,7 +208,7 @@
         if outcome is SubmitOutcome.ACCEPTED:
             responder.send(202)
         elif outcome is SubmitOutcome.REFUSED:
-            refuse(responder, RETRY_UNAVAILABLE_S)
+            refuse(responder, RETRY_AFTER_UNAVAILABLE_S)
         elif outcome is SubmitOutcome.OVER_QUOTA:
             refuse(responder, RETRY_OVER_QUOTA_S, 429)
         elif outcome is SubmitOutcome.ID_TAKEN:
@@ -229,7 +229,7 @@
                 responder.send(405)
         except StoreError as problem:
             self._node.log.event("job_unsure", job=job_id, cause=type(problem).__name__)
-            refuse(responder, RETRY_UNAVAILABLE_S)
+            refuse(responder, RETRY_AFTER_UNAVAILABLE_S)
 
     async def _read_job(
         self, job_id: str, request: ServerRequest, responder: Responder, reader: str | None
@@ -270,7 +270,7 @@
         try:
             body = await self._node.jobs.item_body(job_id, item_id, reader)
         except StoreError:
-            refuse(responder, RETRY_UNAVAILABLE_S)
+            refuse(responder, RETRY_AFTER_UNAVAILABLE_S)
             return
         if body is None:
             responder.send(404)
--- a/mountstand/serving/connections.py
+++ b/mountstand/serving/connections.py
@@ -32,7 +32,7 @@
 """Idle time assumed where a worker tells none: it is then less than a second."""
 
 
-class TurnedAway(ConnectFailed):
+class ClosedOnAccept(ConnectFailed):
     """A connection was accepted and closed before anything was said."""
 
 
@@ -53,7 +53,7 @@
         """Connect to ``worker`` and learn nothing from it for routing. Raises ``ConnectFailed``.
 
         A full worker may turn a connection away; it must not be avoided for that by all daemons.
-        ``TurnedAway`` tells of a connection that was accepted and closed at once: what listens
+        ``ClosedOnAccept`` tells of a connection that was accepted and closed at once: what listens
         there may be a port forwarder whose worker is gone.
         """
         record = worker.record
@@ -61,12 +61,12 @@
             connection = await connect(record.host, record.port, self._timeout.value_s)
         except ConnectFailed as problem:
             if problem.reset:
-                raise TurnedAway("reset while it was opened") from None
+                raise ClosedOnAccept("reset while it was opened") from None
             raise
         try:
             await asyncio.sleep(TURNED_AWAY_S)
             if not connection.open:
-                raise TurnedAway("accepted and closed at once")
+                raise ClosedOnAccept("accepted and closed at once")
         finally:
             connection.close()
 
--- a/mountstand/serving/forwarder.py
+++ b/mountstand/serving/forwarder.py
@@ -47,7 +47,7 @@
 less often than not."""
 
 RETRY_FULL_S = 0.2
-RETRY_UNAVAILABLE_S = 0.5
+RETRY_AFTER_UNAVAILABLE_S = 0.5
 """When a refused caller is told to come back."""
 
 
@@ -329,7 +329,7 @@
             return
         if exchange.runs == 0:
             full = exchange.refusals > 0
-            usual_s = RETRY_FULL_S if full else RETRY_UNAVAILABLE_S
+            usual_s = RETRY_FULL_S if full else RETRY_AFTER_UNAVAILABLE_S
             refuse(responder, exchange.blocked_for_s or usual_s)
             return
         responder.send(504 if exchange.cause == "deadline" else 502)
--- a/mountstand/serving/worker_ends.py
+++ b/mountstand/serving/worker_ends.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping
 
 from mountstand.hashing import content_name
-from mountstand.serving.connections import TurnedAway, WorkerConnections
+from mountstand.serving.connections import ClosedOnAccept, WorkerConnections
 from mountstand.serving.worker import Worker
 from mountstand.serving.worker_protocol import Call
 from mountstand.telemetry.decisions import DecisionLog, milliseconds
@@ -117,7 +117,7 @@
             pause_s = PAUSE_S
             try:
                 await self._connections.probe(worker)
-            except TurnedAway:
+            except ClosedOnAccept:
                 turned_away += 1
                 pause_s = TURNED_AWAY_PAUSE_S
                 # Full or dead, it would break off at once whatever is sent to it meanwhile.
