--- a/mountstand/jobs/item_execution.py
+++ b/mountstand/jobs/item_execution.py
@@ -10,7 +10,7 @@
 from mountstand.jobs.model import ItemResult, ItemState, JobItem
 from mountstand.jobs.repository import JobRepository
 from mountstand.quarantine.service import RequestQuarantine
-from mountstand.serving.batch_room import BatchRoom
+from mountstand.serving.batch_room import BatchScheduler
 from mountstand.serving.configuration import Configuration, Route, ShareChooser
 from mountstand.serving.connections import WorkerConnections
 from mountstand.serving.events import EventSplitter
@@ -78,7 +78,7 @@
     connections: WorkerConnections
     protocol: WorkerProtocol
     shares: ShareChooser
-    room: BatchRoom
+    room: BatchScheduler
     quarantine: RequestQuarantine
     metrics: ServingMetrics
     log: DecisionLog
--- a/mountstand/serving/batch_room.py
+++ b/mountstand/serving/batch_room.py
@@ -64,7 +64,7 @@
 
 @dataclass(eq=False)
 class Placement:
-    """A batch item's place at a worker, from its grant until ``BatchRoom.release``."""
+    """A batch item's place at a worker, from its grant until ``BatchScheduler.release``."""
 
     worker: Worker
     urgency: Urgency
@@ -86,7 +86,7 @@
     granted: asyncio.Future[Placement]
 
 
-class BatchRoom:
+class BatchScheduler:
     """Shares the free slots out among daemons, and preempts this daemon's items."""
 
     def __init__(
--- a/mountstand/serving/forwarder.py
+++ b/mountstand/serving/forwarder.py
@@ -12,7 +12,7 @@
 
 from mountstand.quarantine.service import RequestQuarantine
 from mountstand.quarantine.suspect import TRIAL_RETRY_AFTER_S
-from mountstand.serving.batch_room import BatchRoom
+from mountstand.serving.batch_room import BatchScheduler
 from mountstand.serving.configuration import Route, ShareChooser
 from mountstand.serving.connections import WorkerConnections
 from mountstand.serving.exchange import (
@@ -61,7 +61,7 @@
         protocol: WorkerProtocol,
         shares: ShareChooser,
         queue: OnlineQueue,
-        room: BatchRoom,
+        room: BatchScheduler,
         quarantine: RequestQuarantine,
         metrics: ServingMetrics,
         log: DecisionLog,
--- a/mountstand/serving/reply_relay.py
+++ b/mountstand/serving/reply_relay.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from mountstand.serving.batch_room import BatchRoom
+from mountstand.serving.batch_room import BatchScheduler
 from mountstand.serving.configuration import Route
 from mountstand.serving.connections import WorkerConnections
 from mountstand.serving.events import EventSplitter, StreamEvent
@@ -38,7 +38,7 @@
         directory: WorkerDirectory,
         connections: WorkerConnections,
         protocol: WorkerProtocol,
-        room: BatchRoom,
+        room: BatchScheduler,
     ) -> None:
         self._directory = directory
         self._connections = connections
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -22,7 +22,7 @@
 from mountstand.membership.registry import DaemonRegistry, DaemonRow, new_token
 from mountstand.quarantine.service import RequestQuarantine
 from mountstand.quarantine.stored import StoredSuspects
-from mountstand.serving.batch_room import BatchRoom
+from mountstand.serving.batch_room import BatchScheduler
 from mountstand.serving.configuration import Configuration, ShareChooser
 from mountstand.serving.connections import WorkerConnections
 from mountstand.serving.feeds import ConfigurationSource, ConfigurationState, WorkersState
@@ -128,7 +128,7 @@
         )
         self.connections = WorkerConnections()
         self.queue = OnlineQueue(self.directory, source_of_chance)
-        self.room = BatchRoom(self.directory, self.queue, source_of_chance)
+        self.room = BatchScheduler(self.directory, self.queue, source_of_chance)
         shares = ShareChooser(source_of_chance)
         self._build_membership(store)
         self.quarantine = RequestQuarantine(
--- a/mountstand/serving_periodic.py
+++ b/mountstand/serving_periodic.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from mountstand.serving.batch_room import BatchRoom
+from mountstand.serving.batch_room import BatchScheduler
 from mountstand.serving.connections import WorkerConnections
 from mountstand.serving.load_sharing import LoadSharing
 from mountstand.serving.online_queue import OnlineQueue
@@ -29,7 +29,7 @@
         directory: WorkerDirectory,
         connections: WorkerConnections,
         queue: OnlineQueue,
-        room: BatchRoom,
+        room: BatchScheduler,
         load_sharing: LoadSharing,
         log: DecisionLog,
         on_pause: Callable[[], None] = lambda: None,
--- a/mountstand/serving_zones.py
+++ b/mountstand/serving_zones.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from mountstand.limits.standing import Standing
-from mountstand.serving.batch_room import BatchRoom
+from mountstand.serving.batch_room import BatchScheduler
 from mountstand.serving.cold_workers import ColdSends, ColdTolerance
 from mountstand.serving.configuration import Configuration
 from mountstand.serving.evacuation import ZoneEvacuations
@@ -30,7 +30,7 @@
     def __init__(
         self,
         directory: WorkerDirectory,
-        room: BatchRoom,
+        room: BatchScheduler,
         load_sharing: LoadSharing,
         store: RowStore,
         source: ConfigurationSource,
--- a/tests/serving/test_batch_room.py
+++ b/tests/serving/test_batch_room.py
@@ -7,7 +7,7 @@
 
 from testtools import TestCase
 
-from mountstand.serving.batch_room import BatchRoom, Placement, Urgency
+from mountstand.serving.batch_room import BatchScheduler, Placement, Urgency
 from mountstand.serving.online_queue import StartTimes
 from mountstand.serving.prompt import EMPTY_PROMPT
 from mountstand.serving.slot_demand import Waiting
@@ -30,7 +30,7 @@
             self.directory = fleet.directory
             self.worker: Worker = fleet.directory.workers["w0"]
             self.queue = fleet.queue
-            self.room = BatchRoom(fleet.directory, fleet.queue, random.Random(seed))
+            self.room = BatchScheduler(fleet.directory, fleet.queue, random.Random(seed))
             await work()
 
         run(whole())
--- a/tests/serving/test_residency.py
+++ b/tests/serving/test_residency.py
@@ -12,7 +12,7 @@
 from mountstand.membership.caller_addresses import in_regions
 from mountstand.membership.registry import DaemonRow
 from mountstand.platform.operator_rows import decode_configuration
-from mountstand.serving.batch_room import BatchRoom, Urgency
+from mountstand.serving.batch_room import BatchScheduler, Urgency
 from mountstand.serving.online_queue import OnlineQueue, start_times
 from mountstand.serving.prompt import EMPTY_PROMPT
 from mountstand.serving.residency import Geography, in_both
@@ -72,7 +72,7 @@
         for number, zone in enumerate(("n1", "n2", "s1", "w1")):
             self.directory.put(record(number, zone), 0.0)
         self.queue = OnlineQueue(self.directory, random.Random(2))
-        self.room = BatchRoom(self.directory, self.queue, random.Random(1))
+        self.room = BatchScheduler(self.directory, self.queue, random.Random(1))
         self.south = self.directory.pool("llm", SOUTH)
 
     def worker(self, worker_id: str) -> Worker:
--- a/tests/stand_ins/harness.py
+++ b/tests/stand_ins/harness.py
@@ -12,7 +12,7 @@
 
 from mountstand.platform.worker_protocol import PlatformWorkerProtocol
 from mountstand.quarantine.service import RequestQuarantine
-from mountstand.serving.batch_room import BatchRoom
+from mountstand.serving.batch_room import BatchScheduler
 from mountstand.serving.configuration import (
     Configuration,
     RequestKind,
@@ -104,7 +104,7 @@
         self.protocol = PlatformWorkerProtocol()
         self.shares = ShareChooser(self.source)
         self.queue = OnlineQueue(self.directory, random.Random(2))
-        self.room = BatchRoom(self.directory, self.queue, random.Random(1))
+        self.room = BatchScheduler(self.directory, self.queue, random.Random(1))
         self.metrics = ServingMetrics()
         self.log = LineLog()
         self.ends = WorkerEnds(self.connections, self.metrics, self.log)
