--- a/mountstand/platform/operator_rows.py
+++ b/mountstand/platform/operator_rows.py
@@ -113,7 +113,7 @@
         slots=max(1, slots),
         draining=state == names.DRAINING,
         version=row.version,
-        born_ms=_field(fields, "born", int, 0),
+        started_at_ms=_field(fields, "born", int, 0),
         cold_left_s=_field(fields, "cold_left_ms", (int, float), 0) / 1000,
     )
 
--- a/mountstand/serving/worker.py
+++ b/mountstand/serving/worker.py
@@ -50,7 +50,7 @@
     slots: int
     draining: bool
     version: int
-    born_ms: int = 0
+    started_at_ms: int = 0
     """When its process started, in Unix milliseconds; 0 where that is not told. A worker may start
     again under its former id and remembers nothing then."""
 
@@ -114,7 +114,11 @@
     def incarnation(self) -> str:
         """The name of the worker's process: its id, and when it was born where that is told."""
         record = self.record
-        return f"{record.worker_id}@{record.born_ms}" if record.born_ms else record.worker_id
+        return (
+            f"{record.worker_id}@{record.started_at_ms}"
+            if record.started_at_ms
+            else record.worker_id
+        )
 
     @cached_property
     def key(self) -> int:
--- a/mountstand/serving/workers.py
+++ b/mountstand/serving/workers.py
@@ -60,8 +60,8 @@
         else:
             changed = known.record.draining != record.draining
             changed = changed or (known.leaving_since_s is not None and not record.draining)
-            born_ms = record.born_ms or known.record.born_ms
-            known.record = replace(record, born_ms=born_ms)
+            started_at_ms = record.started_at_ms or known.record.started_at_ms
+            known.record = replace(record, started_at_ms=started_at_ms)
             known.evacuated_since_s = self._evacuated_since_s.get(record.zone)
         if known.cold is not None:
             known.cold.note_cold(now_s + record.cold_left_s)
@@ -313,7 +313,11 @@
 
     A record that does not tell when its process started says nothing of that.
     """
-    return known.born_ms > 0 and record.born_ms > 0 and known.born_ms != record.born_ms
+    return (
+        known.started_at_ms > 0
+        and record.started_at_ms > 0
+        and known.started_at_ms != record.started_at_ms
+    )
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/serving/test_routing.py
+++ b/tests/serving/test_routing.py
@@ -202,22 +202,22 @@
 
     def test_a_worker_that_starts_again_under_its_id_begins_anew(self) -> None:
         """What was known of the process before says nothing of the new one."""
-        self.directory.put(worker_record(0, born_ms=100, version=2), 5.0)
+        self.directory.put(worker_record(0, started_at_ms=100, version=2), 5.0)
         before = self.directory.workers["w0"]
         before.note_load(LoadReport(4, 9, 4), 5.0)
         before.note_connect_failed(5.0)
         before.health.eject(5.0)
-        self.directory.put(worker_record(0, born_ms=100, version=3), 5.1)
+        self.directory.put(worker_record(0, started_at_ms=100, version=3), 5.1)
         self.assertIs(before, self.directory.workers["w0"], "the same process")
-        self.assertTrue(self.directory.put(worker_record(0, born_ms=200, version=4), 5.2))
+        self.assertTrue(self.directory.put(worker_record(0, started_at_ms=200, version=4), 5.2))
         after = self.directory.workers["w0"]
         self.assertTrue(after.takes_work(5.2))
         self.assertEqual(0.0, after.estimated_load(5.2))
         self.assertNotEqual(before.key, after.key, "peers' counts of the former do not apply")
-        self.directory.put(worker_record(0, born_ms=0, version=5), 5.3)
+        self.directory.put(worker_record(0, started_at_ms=0, version=5), 5.3)
         self.assertIs(after, self.directory.workers["w0"], "a row that does not tell says nothing")
-        self.assertEqual(200, after.record.born_ms)
-        self.assertFalse(self.directory.put(worker_record(0, born_ms=100, version=3), 5.3))
+        self.assertEqual(200, after.record.started_at_ms)
+        self.assertFalse(self.directory.put(worker_record(0, started_at_ms=100, version=3), 5.3))
         self.assertIs(after, self.directory.workers["w0"], "an older row brings nothing back")
 
     def test_complete_list_drops_what_it_lacks(self) -> None:
