--- a/mountstand/serving/reply_relay.py
+++ b/mountstand/serving/reply_relay.py
@@ -43,7 +43,7 @@
         self._directory = directory
         self._connections = connections
         self._protocol = protocol
-        self._room = room
+        self._batch_scheduler = room
 
     async def run(
         self, exchange: Exchange, worker: Worker, connection: ClientConnection
@@ -59,7 +59,7 @@
         if meaning.load is not None:
             exchange.load = meaning.load
             worker.note_load(meaning.load, now_s)
-            self._room.yield_to_online(worker, now_s)
+            self._batch_scheduler.yield_to_online(worker, now_s)
         if meaning.kind is not ReplyKind.ANSWERED:
             exchange.runs -= 1
             return self._note_refusal(exchange, worker, meaning.kind, now_s)
--- a/mountstand/serving_periodic.py
+++ b/mountstand/serving_periodic.py
@@ -37,7 +37,7 @@
         self._directory = directory
         self._connections = connections
         self._queue = queue
-        self._room = room
+        self._batch_scheduler = room
         self._load_sharing = load_sharing
         self._log = log
         self._on_pause = on_pause
@@ -50,7 +50,7 @@
             await asyncio.sleep(SWEEP_S)
             self._note_pause(loop.time() - began_s - SWEEP_S)
             self._directory.sweep(loop.time())
-            self._room.forget(set(self._directory.workers))
+            self._batch_scheduler.forget(set(self._directory.workers))
             listed = {worker.incarnation for worker in self._directory.workers.values()}
             self._connections.sweep(listed, loop.time())
 
@@ -63,7 +63,7 @@
             for worker in self._directory.judge_health(loop.time()):
                 self._log_ejection(worker)
             self._queue.tick(loop.time(), self._load_sharing.hops)
-            self._room.tick(loop.time(), self._load_sharing.hops)
+            self._batch_scheduler.tick(loop.time(), self._load_sharing.hops)
 
     def _note_pause(self, late_s: float) -> None:
         """Tell that this process stood still: what it knows is older by that much."""
--- a/mountstand/serving_zones.py
+++ b/mountstand/serving_zones.py
@@ -42,7 +42,7 @@
         log: DecisionLog,
     ) -> None:
         self._directory = directory
-        self._room = room
+        self._batch_scheduler = room
         self._load_sharing = load_sharing
         self._metrics = metrics
         self._log = log
@@ -86,5 +86,5 @@
                 "workers_evacuated",
                 workers=len(left),
                 requests_left=sum(worker.online for worker in left),
-                items_moved=sum(self._room.vacate(worker) for worker in left),
+                items_moved=sum(self._batch_scheduler.vacate(worker) for worker in left),
             )
