--- a/tests/serving/test_forwarder.py
+++ b/tests/serving/test_forwarder.py
@@ -29,7 +29,7 @@
 )
 
 
-class Front:
+class ForwarderHarness:
     """A caller's side before a fleet of stand-in workers."""
 
     def __init__(self, used: Route, *scripts: tuple[Answer, ...]) -> None:
@@ -39,7 +39,7 @@
         self.deadline_s: float | None = None
         self.prompt = EMPTY_PROMPT
 
-    async def __aenter__(self) -> Front:
+    async def __aenter__(self) -> ForwarderHarness:
         await self.fleet.__aenter__()
         fleet = self.fleet
         self.forwarder = Forwarder(
@@ -135,7 +135,7 @@
     async def _case(
         self, name: str, used: Route, first: Answer, others: Answer, status: int, received: int
     ) -> None:
-        async with Front(used, (first,), (others,), (others,)) as front:
+        async with ForwarderHarness(used, (first,), (others,), (others,)) as front:
             front.fleet.directory.workers["w1"].in_flight = 1
             front.fleet.directory.workers["w2"].in_flight = 1
             found = await front.ask()
@@ -147,7 +147,7 @@
 
     def test_each_dispatch_names_its_worker_and_what_time_is_left(self) -> None:
         async def scenario() -> None:
-            async with Front(ONCE, (whole(),)) as front:
+            async with ForwarderHarness(ONCE, (whole(),)) as front:
                 await front.ask()
                 received = front.workers[0].received[0]
                 self.assertEqual("w0", received.headers.get("expect-instance"))
@@ -160,7 +160,7 @@
 
     def test_unreachable_worker_costs_no_run(self) -> None:
         async def scenario() -> None:
-            async with Front(ONCE, (whole(),), (whole(),)) as front:
+            async with ForwarderHarness(ONCE, (whole(),), (whole(),)) as front:
                 await front.workers[0].stop()
                 front.fleet.directory.workers["w1"].in_flight = 1
                 self.assertEqual(200, (await front.ask())[0])
@@ -172,7 +172,7 @@
         """Found by a score: one lost connect on a lossy link refused the request."""
 
         async def scenario() -> None:
-            async with Front(ONCE, (whole(),)) as front:
+            async with ForwarderHarness(ONCE, (whole(),)) as front:
                 acquire = front.fleet.connections.acquire
                 failures = iter([ConnectFailed("lost")])
 
@@ -190,7 +190,7 @@
 
     def test_no_worker_at_all_is_refused_at_once(self) -> None:
         async def scenario() -> None:
-            async with Front(ONCE) as front:
+            async with ForwarderHarness(ONCE) as front:
                 began_s = asyncio.get_running_loop().time()
                 self.assertEqual(503, (await front.ask())[0])
                 self.assertLess(asyncio.get_running_loop().time() - began_s, 0.5)
@@ -203,12 +203,12 @@
 
     PROMPT = Prompt((PromptPart("aa", 100), PromptPart("bb", 400)))
 
-    def unread(self, front: Front) -> int:
+    def unread(self, front: ForwarderHarness) -> int:
         return sum(worker.unread for worker in front.fleet.directory.workers.values())
 
     def test_until_the_first_event(self) -> None:
         async def scenario() -> None:
-            async with Front(PLAIN_STREAM, (stream(3, gap_s=0.3),)) as front:
+            async with ForwarderHarness(PLAIN_STREAM, (stream(3, gap_s=0.3),)) as front:
                 front.prompt = self.PROMPT
                 asked = asyncio.create_task(front.ask())
                 worker = front.fleet.directory.workers["w0"]
@@ -220,7 +220,7 @@
 
     def test_while_the_worker_says_nothing(self) -> None:
         async def scenario() -> None:
-            async with Front(ONCE, (silence,)) as front:
+            async with ForwarderHarness(ONCE, (silence,)) as front:
                 front.prompt = self.PROMPT
                 front.deadline_s = 0.5
                 asked = asyncio.create_task(front.ask())
@@ -232,7 +232,7 @@
 
     def test_no_longer_than_the_attempt_that_failed(self) -> None:
         async def scenario() -> None:
-            async with Front(REPEATABLE, (reset,), (reset,)) as front:
+            async with ForwarderHarness(REPEATABLE, (reset,), (reset,)) as front:
                 front.prompt = self.PROMPT
                 await front.ask()
                 self.assertEqual(0, self.unread(front))
@@ -243,7 +243,7 @@
 class FinalAnswers(TestCase):
     def test_request_that_outlasts_its_deadline_is_answered_then(self) -> None:
         async def scenario() -> None:
-            async with Front(ONCE, (silence,)) as front:
+            async with ForwarderHarness(ONCE, (silence,)) as front:
                 front.deadline_s = 0.3
                 began_s = asyncio.get_running_loop().time()
                 status, _, _ = await front.ask()
@@ -257,7 +257,7 @@
 
     def test_worker_is_left_when_the_caller_leaves(self) -> None:
         async def scenario() -> None:
-            async with Front(ONCE, (silence,)) as front:
+            async with ForwarderHarness(ONCE, (silence,)) as front:
                 _, writer = await asyncio.open_connection("127.0.0.1", front.port)
                 writer.write(f"GET /x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: r\r\n\r\n".encode())
                 await eventually(lambda: front.workers[0].received, "the worker has it")
@@ -271,9 +271,9 @@
 class Streams(TestCase):
     EXPECTED = b"".join(event(number) for number in range(1, 7))
 
-    def ask(self, used: Route, *scripts: tuple[Answer, ...]) -> tuple[Any, Front]:
-        async def scenario() -> tuple[Any, Front]:
-            async with Front(used, *scripts) as front:
+    def ask(self, used: Route, *scripts: tuple[Answer, ...]) -> tuple[Any, ForwarderHarness]:
+        async def scenario() -> tuple[Any, ForwarderHarness]:
+            async with ForwarderHarness(used, *scripts) as front:
                 for number in range(1, len(front.workers)):
                     front.fleet.directory.workers[f"w{number}"].in_flight = number
                 return await front.ask(), front
@@ -310,7 +310,7 @@
 
     def test_silent_unreachable_worker_is_left_for_another(self) -> None:
         async def scenario() -> None:
-            async with Front(RESUMABLE, (silence,), (stream(6),)) as front:
+            async with ForwarderHarness(RESUMABLE, (silence,), (stream(6),)) as front:
                 front.fleet.directory.workers["w1"].in_flight = 1
                 asking = asyncio.create_task(front.ask())
                 await eventually(lambda: front.workers[0].received, "the worker has it")
@@ -324,7 +324,7 @@
 class Telling(TestCase):
     def test_each_end_is_one_line_with_its_inputs(self) -> None:
         async def scenario() -> None:
-            async with Front(REPEATABLE, (reset,), (whole(),)) as front:
+            async with ForwarderHarness(REPEATABLE, (reset,), (whole(),)) as front:
                 front.fleet.directory.workers["w1"].in_flight = 1
                 await front.ask()
                 await eventually(lambda: front.fleet.log.lines("request_ended"), "it is told")
@@ -350,7 +350,7 @@
         """Return what is counted at a worker right after a request, and after the usual time."""
 
         async def scenario() -> list[int]:
-            async with Front(used, script) as front:
+            async with ForwarderHarness(used, script) as front:
                 front.fleet.directory.chooser.durations.note("llm", self.USUAL_S)
                 await front.ask()
                 worker = front.fleet.directory.workers["w0"]
@@ -375,7 +375,7 @@
 
     def test_failures_do_not_change_how_long_requests_usually_take(self) -> None:
         async def scenario() -> float:
-            async with Front(ONCE, (BAD,)) as front:
+            async with ForwarderHarness(ONCE, (BAD,)) as front:
                 durations = front.fleet.directory.chooser.durations
                 durations.note("llm", self.USUAL_S)
                 await front.ask()
@@ -386,7 +386,7 @@
     def test_a_failing_worker_gets_no_more_than_its_share(self) -> None:
         async def scenario() -> int:
             good = stream(4, gap_s=0.1)
-            async with Front(PLAIN_STREAM, (BAD,), (good,), (good,), (good,)) as front:
+            async with ForwarderHarness(PLAIN_STREAM, (BAD,), (good,), (good,), (good,)) as front:
                 front.fleet.directory.chooser.durations.note("llm", 0.4)
                 asked = []
                 for number in range(24):
@@ -403,7 +403,7 @@
 
     def test_what_a_cold_worker_does_not_bear_goes_to_another_or_is_refused(self) -> None:
         async def body() -> None:
-            async with Front(REPEATABLE, (whole(),)) as front:
+            async with ForwarderHarness(REPEATABLE, (whole(),)) as front:
                 fleet = front.fleet
                 standing = Standing("test")
                 standing.use(["test"], ["test"])
--- a/tests/serving/test_held_back.py
+++ b/tests/serving/test_held_back.py
@@ -12,7 +12,7 @@
 from mountstand.quarantine.suspects import CrashSuspects
 from mountstand.serving.configuration import RequestKind, Route
 from mountstand.serving.worker_protocol import Call
-from tests.serving.test_forwarder import ONCE, PLAIN_STREAM, REPEATABLE, RESUMABLE, Front
+from tests.serving.test_forwarder import ONCE, PLAIN_STREAM, REPEATABLE, RESUMABLE, ForwarderHarness
 from tests.stand_ins.crashing import CrashableWorker
 from tests.stand_ins.harness import HOST, eventually, route, run
 from tests.stand_ins.worker import Answer, Received, StandInWorker, event, silence, stream, whole
@@ -23,7 +23,7 @@
 ROUTES = (ONCE, REPEATABLE, PLAIN_STREAM, RESUMABLE)
 
 
-def block(front: Front) -> None:
+def block(front: ForwarderHarness) -> None:
     """Let three workers have ended under the request that ``Front.ask`` sends."""
     now_s = asyncio.get_running_loop().time()
     for key in (1, 2, 3):
@@ -33,7 +33,7 @@
         )
 
 
-class CrashingFront(Front):
+class CrashingFront(ForwarderHarness):
     """A front whose workers end as they run the request."""
 
     def __init__(self, used: Route, *scripts: tuple[Answer, ...]) -> None:
@@ -52,13 +52,13 @@
 class HeldBack(TestCase):
     def with_front(self, used: Route, body: Any, *scripts: tuple[Answer, ...]) -> None:
         async def scenario() -> None:
-            async with Front(used, *(scripts or ((whole(),),))) as front:
+            async with ForwarderHarness(used, *(scripts or ((whole(),),))) as front:
                 await body(front)
 
         run(scenario())
 
     def test_refused_at_once_with_the_time_of_its_next_trial(self) -> None:
-        async def body(front: Front) -> None:
+        async def body(front: ForwarderHarness) -> None:
             block(front)
             status, _, complete = await front.ask("r1")
             self.assertEqual((503, True), (status, complete))
@@ -71,7 +71,7 @@
             self.with_front(used, body)
 
     def test_other_contents_are_served(self) -> None:
-        async def body(front: Front) -> None:
+        async def body(front: ForwarderHarness) -> None:
             block(front)
             other = Call("r", HOST, "POST", "/x", (), b"else")
             self.assertEqual(0.0, front.fleet.quarantine.blocked_for_s(other))
@@ -81,7 +81,7 @@
         self.with_front(REPEATABLE, body)
 
     def test_one_that_waits_for_a_worker_is_refused_as_it_becomes_blocked(self) -> None:
-        async def body(front: Front) -> None:
+        async def body(front: ForwarderHarness) -> None:
             front.fleet.quarantine.on_blocked = front.fleet.queue.reject
             worker = front.fleet.directory.workers["w0"]
             worker.in_flight = 4
@@ -96,7 +96,7 @@
         self.with_front(route(RequestKind.REPEATABLE, target_latency_s=2.0), body)
 
     def test_one_that_ran_before_it_was_blocked_is_not_called_refused(self) -> None:
-        async def body(front: Front) -> None:
+        async def body(front: ForwarderHarness) -> None:
             asking = asyncio.create_task(front.ask("r1"))
             await eventually(lambda: len(front.fleet.received()) == 1, "it runs")
             block(front)
@@ -109,7 +109,7 @@
         self.with_front(REPEATABLE, body, (silence,), (silence,))
 
     def test_a_slot_that_it_was_given_is_free_again(self) -> None:
-        async def body(front: Front) -> None:
+        async def body(front: ForwarderHarness) -> None:
             block(front)
             worker = front.fleet.directory.workers["w0"]
             for _ in range(5):
@@ -162,7 +162,7 @@
         """Its machine refuses new connections, while the old one never says anything."""
 
         async def scenario() -> None:
-            async with Front(REPEATABLE, (silence,), (silence,)) as front:
+            async with ForwarderHarness(REPEATABLE, (silence,), (silence,)) as front:
                 front.deadline_s = 2.5
                 asking = asyncio.create_task(front.ask("r1"))
                 await eventually(lambda: front.fleet.received(), "it runs")
@@ -179,7 +179,7 @@
     def test_breaks_of_links_are_no_ends(self) -> None:
         async def scenario() -> None:
             script = (stream(5, cut_after=1),)
-            async with Front(RESUMABLE, script, script, script) as front:
+            async with ForwarderHarness(RESUMABLE, script, script, script) as front:
                 await front.ask("r1")
                 await asyncio.sleep(0.5)
                 self.assertFalse(front.fleet.quarantine.suspects)
@@ -190,7 +190,7 @@
 class Separation(TestCase):
     def test_two_strong_suspects_do_not_meet_at_a_worker(self) -> None:
         async def scenario() -> None:
-            async with Front(REPEATABLE, (whole(),), (whole(),)) as front:
+            async with ForwarderHarness(REPEATABLE, (whole(),), (whole(),)) as front:
                 fleet = front.fleet
                 other = Call("r", HOST, "POST", "/x", (), b"else")
                 now_s = asyncio.get_running_loop().time()
--- a/tests/serving/test_rest_limit.py
+++ b/tests/serving/test_rest_limit.py
@@ -8,7 +8,7 @@
 
 from mountstand.serving.configuration import RequestKind
 from mountstand.serving.rest_limit import DOUBLING_S, SHORTEST_REST_S, RestLimit
-from tests.serving.test_forwarder import Front
+from tests.serving.test_forwarder import ForwarderHarness
 from tests.stand_ins.harness import route, run
 from tests.stand_ins.worker import Answer, Received, reset, whole
 
@@ -55,7 +55,7 @@
 class AtMostOnce(TestCase):
     def test_only_the_first_request_meets_a_forgotten_connection(self) -> None:
         async def scenario() -> None:
-            async with Front(route(RequestKind.AT_MOST_ONCE), (forgetful(),)) as front:
+            async with ForwarderHarness(route(RequestKind.AT_MOST_ONCE), (forgetful(),)) as front:
                 statuses = []
                 for i in range(5):
                     worker = next(iter(front.fleet.directory.workers.values()))
--- a/tests/serving/test_suspended.py
+++ b/tests/serving/test_suspended.py
@@ -22,7 +22,7 @@
 from mountstand.store.memory_rows import MemoryRowStore
 from mountstand.store.rows import RowKey, Transaction
 from mountstand.store.watch import TableWatcher
-from tests.serving.test_forwarder import REPEATABLE, Front
+from tests.serving.test_forwarder import REPEATABLE, ForwarderHarness
 from tests.serving.test_held_back import ANY_TRY, block
 from tests.serving.test_worker_ends import call
 from tests.stand_ins.harness import LineLog, eventually, route
@@ -66,7 +66,7 @@
     def test_a_request_whose_time_is_over_reaches_no_worker(self) -> None:
         async def work(machine: SuspendedMachine) -> list[int]:
             waiting_long = route(RequestKind.REPEATABLE, target_latency_s=2.0)
-            async with Front(waiting_long, (whole(),)) as front:
+            async with ForwarderHarness(waiting_long, (whole(),)) as front:
                 worker = front.fleet.directory.workers["w0"]
                 worker.in_flight = 4
                 asking = asyncio.create_task(front.ask("r1"))
@@ -82,7 +82,7 @@
 
     def test_workers_are_told_the_time_that_is_left(self) -> None:
         async def work(machine: SuspendedMachine) -> bool:
-            async with Front(REPEATABLE, (silence,), (silence,)) as front:
+            async with ForwarderHarness(REPEATABLE, (silence,), (silence,)) as front:
                 front.deadline_s = 10.0
                 asking = asyncio.create_task(front.ask("r1"))
                 await eventually(lambda: front.fleet.received(), "it runs")
@@ -100,7 +100,7 @@
 
     def test_a_block_that_is_over_is_over(self) -> None:
         async def work(machine: SuspendedMachine) -> bool:
-            async with Front(REPEATABLE, (whole(),)) as front:
+            async with ForwarderHarness(REPEATABLE, (whole(),)) as front:
                 block(front)
                 machine.suspend(INITIAL_BLOCK_S)
                 return front.fleet.quarantine.blocked_for_s(ANY_TRY) == 0
@@ -110,7 +110,7 @@
     def test_a_worker_that_was_just_heard_from_has_not_been(self) -> None:
         async def work(machine: SuspendedMachine) -> int:
             once = route(RequestKind.AT_MOST_ONCE)
-            async with Front(once, (whole(),)) as front:
+            async with ForwarderHarness(once, (whole(),)) as front:
                 await front.ask("r1")
                 machine.suspend(5.0)
                 await front.ask("r2")
