--- a/mountstand/platform/operator_rows.py
+++ b/mountstand/platform/operator_rows.py
@@ -114,7 +114,7 @@
         draining=state == names.DRAINING,
         version=row.version,
         started_at_ms=_field(fields, "born", int, 0),
-        cold_left_s=_field(fields, "cold_left_ms", (int, float), 0) / 1000,
+        cold_remaining_s=_field(fields, "cold_left_ms", (int, float), 0) / 1000,
     )
 
 
--- a/mountstand/serving/worker.py
+++ b/mountstand/serving/worker.py
@@ -54,7 +54,7 @@
     """When its process started, in Unix milliseconds; 0 where that is not told. A worker may start
     again under its former id and remembers nothing then."""
 
-    cold_left_s: float = 0.0
+    cold_remaining_s: float = 0.0
     """How much longer it bears little work, as of the time of the record."""
 
 
--- a/mountstand/serving/workers.py
+++ b/mountstand/serving/workers.py
@@ -64,7 +64,7 @@
             known.record = replace(record, started_at_ms=started_at_ms)
             known.evacuated_since_s = self._evacuated_since_s.get(record.zone)
         if known.cold is not None:
-            known.cold.note_cold(now_s + record.cold_left_s)
+            known.cold.note_cold(now_s + record.cold_remaining_s)
         if not record.draining:
             known.leaving_since_s = None
         elif known.leaving_since_s is None:
@@ -172,7 +172,7 @@
             worker.cold = None
         elif worker.cold is None:
             worker.cold = ColdBudget(record.worker_id, cold, self._cold_sends)
-            worker.cold.note_cold(now_s + record.cold_left_s)
+            worker.cold.note_cold(now_s + record.cold_remaining_s)
         else:
             worker.cold.cold = cold
 
--- a/tests/unit/test_worker_rows.py
+++ b/tests/unit/test_worker_rows.py
@@ -33,13 +33,13 @@
     def test_all_fields(self) -> None:
         record = decode_worker(row(orjson.dumps(GOOD)))
         self.assertEqual(("llm", "10.1.2.3", 8080), (record.service, record.host, record.port))
-        self.assertEqual((1_790_000_000_000, 1.5), (record.started_at_ms, record.cold_left_s))
+        self.assertEqual((1_790_000_000_000, 1.5), (record.started_at_ms, record.cold_remaining_s))
         self.assertFalse(record.draining)
 
     def test_older_workers_tell_neither_birth_nor_cold(self) -> None:
         fields = {k: v for k, v in GOOD.items() if k not in ("born", "cold_left_ms")}
         record = decode_worker(row(orjson.dumps(fields)))
-        self.assertEqual((0, 0.0), (record.started_at_ms, record.cold_left_s))
+        self.assertEqual((0, 0.0), (record.started_at_ms, record.cold_remaining_s))
 
     def test_rows_of_another_form_name_no_worker(self) -> None:
         changes: list[dict[str, Any]] = [
