--- a/mountstand/jobs/runner.py
+++ b/mountstand/jobs/runner.py
@@ -271,7 +271,7 @@
             placement.preempt = progress.preempt
             return await self._executor.attempt(progress, route, placement.worker)
         finally:
-            self._context.room.release(placement)
+            self._context.batch_scheduler.release(placement)
 
     async def _hold_back(self, progress: ItemProgress) -> None:
         """Let an item that crashes workers wait for a moment.
@@ -298,7 +298,7 @@
             service = self._context.shares.choose(route)
             urgency = self._urgency(route, service, progress)
             pool = self._context.directory.pool(service, self._regions(route))
-            return await self._context.room.acquire(pool, urgency)
+            return await self._context.batch_scheduler.acquire(pool, urgency)
         finally:
             self._waiting_tasks.discard(task)
 
@@ -317,7 +317,7 @@
         age_s = (self._context.store_now_ms() - self.head.accepted_ms) / 1000
         left_s = route.completion_target_s - age_s
         now_s = asyncio.get_running_loop().time()
-        usual_s = self._context.room.durations.usual_s(service)
+        usual_s = self._context.batch_scheduler.durations.usual_s(service)
         run_s = max(0.0, usual_s - progress.ran_s)
         return Urgency(now_s + left_s, run_s, self._priority(route))
 
--- a/mountstand/serving/forwarder.py
+++ b/mountstand/serving/forwarder.py
@@ -61,7 +61,7 @@
         protocol: WorkerProtocol,
         shares: ShareChooser,
         queue: OnlineQueue,
-        room: BatchScheduler,
+        batch_scheduler: BatchScheduler,
         quarantine: RequestQuarantine,
         metrics: ServingMetrics,
         log: DecisionLog,
@@ -71,9 +71,9 @@
         self._connections = connections
         self._protocol = protocol
         self._shares = shares
-        self._batch_scheduler = room
+        self._batch_scheduler = batch_scheduler
         self._quarantine = quarantine
-        self._relay = ReplyRelay(directory, connections, protocol, room)
+        self._relay = ReplyRelay(directory, connections, protocol, batch_scheduler)
         self._metrics = metrics
         self._log = ExchangeLog(metrics, log)
         self.max_idle_per_worker = 4
--- a/mountstand/serving/reply_relay.py
+++ b/mountstand/serving/reply_relay.py
@@ -38,12 +38,12 @@
         directory: WorkerDirectory,
         connections: WorkerConnections,
         protocol: WorkerProtocol,
-        room: BatchScheduler,
+        batch_scheduler: BatchScheduler,
     ) -> None:
         self._directory = directory
         self._connections = connections
         self._protocol = protocol
-        self._batch_scheduler = room
+        self._batch_scheduler = batch_scheduler
 
     async def run(
         self, exchange: Exchange, worker: Worker, connection: ClientConnection
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -128,7 +128,7 @@
         )
         self.connections = WorkerConnections()
         self.queue = OnlineQueue(self.directory, source_of_chance)
-        self.room = BatchScheduler(self.directory, self.queue, source_of_chance)
+        self.batch_scheduler = BatchScheduler(self.directory, self.queue, source_of_chance)
         shares = ShareChooser(source_of_chance)
         self._build_membership(store)
         self.quarantine = RequestQuarantine(
@@ -147,7 +147,7 @@
             protocol,
             shares,
             self.queue,
-            self.room,
+            self.batch_scheduler,
             self.quarantine,
             metrics,
             log,
@@ -156,7 +156,7 @@
             self.directory,
             self.connections,
             self.queue,
-            self.room,
+            self.batch_scheduler,
             self.load_sharing,
             log,
             self.quarantine.query_peers,
@@ -165,7 +165,7 @@
             self.directory, settings.name, MembershipMessageLink(self.membership), source_of_chance
         )
         self._lending.may_lend = lambda service: not self.queue.waits_here(service)
-        self._lending.preempt_own = self.room.preempt_one
+        self._lending.preempt_own = self.batch_scheduler.preempt_one
         self._lending.use = self.queue.use
         self._limits = ServingLimits(
             settings,
@@ -182,7 +182,7 @@
         self._configuration_state = ConfigurationState(source, log, self._use_configuration)
         self._zones = ServingZones(
             self.directory,
-            self.room,
+            self.batch_scheduler,
             self.load_sharing,
             store,
             source,
@@ -251,7 +251,7 @@
             self.directory,
             Peer(settings.name, settings.zone, settings.capacity),
             MembershipLink(self.membership, self.registry),
-            {Work.ONLINE: self.queue.demand, Work.BATCH: self.room.demand},
+            {Work.ONLINE: self.queue.demand, Work.BATCH: self.batch_scheduler.demand},
         )
         self.membership.on_message = self._handle_peer_message
 
@@ -268,7 +268,7 @@
             connections=self.connections,
             protocol=protocol,
             shares=shares,
-            room=self.room,
+            batch_scheduler=self.batch_scheduler,
             quarantine=self.quarantine,
             metrics=self.metrics,
             log=self.log,
--- a/mountstand/serving_periodic.py
+++ b/mountstand/serving_periodic.py
@@ -29,7 +29,7 @@
         directory: WorkerDirectory,
         connections: WorkerConnections,
         queue: OnlineQueue,
-        room: BatchScheduler,
+        batch_scheduler: BatchScheduler,
         load_sharing: LoadSharing,
         log: DecisionLog,
         on_pause: Callable[[], None] = lambda: None,
@@ -37,7 +37,7 @@
         self._directory = directory
         self._connections = connections
         self._queue = queue
-        self._batch_scheduler = room
+        self._batch_scheduler = batch_scheduler
         self._load_sharing = load_sharing
         self._log = log
         self._on_pause = on_pause
--- a/mountstand/serving_zones.py
+++ b/mountstand/serving_zones.py
@@ -30,7 +30,7 @@
     def __init__(
         self,
         directory: WorkerDirectory,
-        room: BatchScheduler,
+        batch_scheduler: BatchScheduler,
         load_sharing: LoadSharing,
         store: RowStore,
         source: ConfigurationSource,
@@ -42,7 +42,7 @@
         log: DecisionLog,
     ) -> None:
         self._directory = directory
-        self._batch_scheduler = room
+        self._batch_scheduler = batch_scheduler
         self._load_sharing = load_sharing
         self._metrics = metrics
         self._log = log
--- a/tests/jobs/test_jobs.py
+++ b/tests/jobs/test_jobs.py
@@ -63,7 +63,7 @@
             connections=fleet.connections,
             protocol=fleet.protocol,
             shares=fleet.shares,
-            room=fleet.room,
+            batch_scheduler=fleet.batch_scheduler,
             quarantine=fleet.quarantine,
             metrics=fleet.metrics,
             log=fleet.log,
@@ -145,7 +145,7 @@
 
     async def _tick(self, fleet: Fleet) -> None:
         while True:
-            fleet.room.tick(asyncio.get_running_loop().time())
+            fleet.batch_scheduler.tick(asyncio.get_running_loop().time())
             await asyncio.sleep(0.02)
 
     def daemon(self, name: str = "d1") -> Daemon:
@@ -257,7 +257,7 @@
             worker = self.fleet.workers[0]
             await eventually(lambda: worker.received, "the item runs")
             await asyncio.sleep(0.25)
-            placement = self.fleet.room._placements["w0"][0]
+            placement = self.fleet.batch_scheduler._placements["w0"][0]
             placement.preempt()
             self.assert_whole(await daemon.finished(1), 1)
             self.assertTrue(worker.received[1].resume_after >= 1)
--- a/tests/serving/test_batch_room.py
+++ b/tests/serving/test_batch_room.py
@@ -30,26 +30,29 @@
             self.directory = fleet.directory
             self.worker: Worker = fleet.directory.workers["w0"]
             self.queue = fleet.queue
-            self.room = BatchScheduler(fleet.directory, fleet.queue, random.Random(seed))
+            self.batch_scheduler = BatchScheduler(fleet.directory, fleet.queue, random.Random(seed))
             await work()
 
         run(whole())
 
     async def wait(self, *urgencies: Urgency) -> list[asyncio.Task[Placement]]:
-        tasks = [asyncio.create_task(self.room.acquire("llm", urgency)) for urgency in urgencies]
+        tasks = [
+            asyncio.create_task(self.batch_scheduler.acquire("llm", urgency))
+            for urgency in urgencies
+        ]
         await settle()
         return tasks
 
     async def let_online_requests_wait(self) -> None:
         """Make 1.5 requests too few to give way to: ten slots end that many in 0.15 s."""
         self.directory.chooser.durations.note("llm", 1.0)
-        self.room.durations.note("llm", 1.0)
+        self.batch_scheduler.durations.note("llm", 1.0)
         times = StartTimes(in_time_s=1.0, latest_s=1.0, queue_s=0.15)
         self.assertIsNotNone(await self.queue.acquire("llm", EMPTY_PROMPT, times))
         self.worker.in_flight -= 1
 
     async def granted(self, tasks: list[asyncio.Task[Placement]]) -> list[bool]:
-        self.room.tick(0.0)
+        self.batch_scheduler.tick(0.0)
         await settle()
         return [task.done() for task in tasks]
 
@@ -60,9 +63,9 @@
             await self.granted(tasks)
             for number, task in enumerate(tasks):
                 task.result().preempt = lambda number=number: moved.append(number)
-            self.assertEqual(2, self.room.vacate(self.worker))
+            self.assertEqual(2, self.batch_scheduler.vacate(self.worker))
             self.assertEqual({0, 1}, set(moved))
-            self.assertEqual(0, self.room.vacate(self.worker), "each is told once")
+            self.assertEqual(0, self.batch_scheduler.vacate(self.worker), "each is told once")
 
         self.scenario(work)
 
@@ -70,7 +73,7 @@
         async def work() -> None:
             tasks = await self.wait(LATE, LATER, SOON)
             self.assertEqual([False, False, True], await self.granted(tasks))
-            self.room.release(tasks[2].result())
+            self.batch_scheduler.release(tasks[2].result())
             self.assertEqual([False, True, True], await self.granted(tasks))
 
         self.scenario(work, slots=1)
@@ -80,7 +83,7 @@
             urgent = Urgency(20.0, priority=0)
             tasks = await self.wait(Urgency(10.0, priority=1), LATE, urgent)
             self.assertEqual([False, False, True], await self.granted(tasks))
-            self.room.release(tasks[2].result())
+            self.batch_scheduler.release(tasks[2].result())
             self.assertEqual([True, False, True], await self.granted(tasks))
 
         self.scenario(work, slots=1)
@@ -91,7 +94,7 @@
                 self.directory.put(worker_record(number, slots=10), 0.0)
             self.directory.workers["w1"].note_connect_failed(0.0)
             self.directory.put(worker_record(2, slots=10, draining=True, version=2), 0.0)
-            self.room.demand.peers_by_service["llm"] = Waiting(9)
+            self.batch_scheduler.demand.peers_by_service["llm"] = Waiting(9)
             tasks = await self.wait(*[SOON] * 9)
             self.assertTrue(4 <= sum(await self.granted(tasks)) <= 5)
 
@@ -100,7 +103,7 @@
     def test_an_item_that_became_late_while_it_waited_goes_last(self) -> None:
         async def work() -> None:
             tasks = await self.wait(Urgency(10.0, run_s=4.0), LATER)
-            self.room.tick(7.0)
+            self.batch_scheduler.tick(7.0)
             await settle()
             self.assertEqual([False, True], [task.done() for task in tasks])
 
@@ -109,9 +112,9 @@
     def test_late_items_leave_the_slots_to_items_of_peers_that_can_be_in_time(self) -> None:
         async def work() -> None:
             tasks = await self.wait(*[LATE] * 9)
-            self.room.demand.peers_by_service["llm"] = Waiting(in_time=6, late=9)
+            self.batch_scheduler.demand.peers_by_service["llm"] = Waiting(in_time=6, late=9)
             self.assertTrue(1 <= sum(await self.granted(tasks)) <= 2)
-            self.room.demand.peers_by_service["llm"] = Waiting(in_time=9)
+            self.batch_scheduler.demand.peers_by_service["llm"] = Waiting(in_time=9)
             self.assertEqual(0, sum(task.done() for task in await self.wait(*[LATE] * 9)))
 
         self.scenario(work)
@@ -119,7 +122,7 @@
     def test_a_daemon_takes_the_part_of_the_free_slots_that_its_items_are_of_all(self) -> None:
         async def work() -> None:
             tasks = await self.wait(*[SOON] * 9)
-            self.room.demand.peers_by_service["llm"] = Waiting(21)
+            self.batch_scheduler.demand.peers_by_service["llm"] = Waiting(21)
             self.assertEqual(3, sum(await self.granted(tasks)))
 
         self.scenario(work)
@@ -134,10 +137,10 @@
     def test_less_is_taken_at_a_time_where_word_of_it_takes_long(self) -> None:
         async def work() -> None:
             tasks = await self.wait(*[SOON] * 12)
-            self.room.tick(0.0, hops=1)
+            self.batch_scheduler.tick(0.0, hops=1)
             await settle()
             self.assertEqual(6, sum(task.done() for task in tasks))
-            self.room.tick(0.0, hops=4)
+            self.batch_scheduler.tick(0.0, hops=4)
             await settle()
             self.assertEqual(7, sum(task.done() for task in tasks))
 
@@ -149,7 +152,7 @@
         async def work() -> None:
             nonlocal granted
             tasks = await self.wait(SOON)
-            self.room.demand.peers_by_service["llm"] = Waiting(89)
+            self.batch_scheduler.demand.peers_by_service["llm"] = Waiting(89)
             granted += sum(await self.granted(tasks))
 
         for seed in range(90):
@@ -173,10 +176,10 @@
             for name, task in zip(("soon", "later"), tasks, strict=True):
                 task.result().preempt = lambda name=name: taken.append(name)
             self.worker.note_load(LoadReport(10, 1, 10), 0.0)
-            self.room.yield_to_online(self.worker, 0.0)
+            self.batch_scheduler.yield_to_online(self.worker, 0.0)
             self.assertEqual([], taken, "a short queue is no reason")
             self.worker.note_load(LoadReport(10, 3, 10), 0.0)
-            self.room.yield_to_online(self.worker, 0.0)
+            self.batch_scheduler.yield_to_online(self.worker, 0.0)
             self.assertEqual(["later"], taken)
 
         self.scenario(work)
@@ -194,7 +197,7 @@
                 task.result().preempt = lambda: taken.append(1)
             self.worker.peer_batch = 4
             self.worker.note_load(LoadReport(10, 6, 10), 0.0)
-            self.room.tick(0.0)
+            self.batch_scheduler.tick(0.0)
             counts.append(len(taken))
 
         for seed in range(100):
@@ -213,7 +216,7 @@
             tasks[0].result().preempt = lambda: taken.append(1)
             self.worker.peer_batch = 3
             self.worker.note_load(LoadReport(10, 2, 10), 0.0)
-            self.room.tick(0.0)
+            self.batch_scheduler.tick(0.0)
 
         for seed in range(200):
             self.scenario(work, seed=seed)
@@ -234,12 +237,12 @@
             now_s = asyncio.get_running_loop().time()
             runs_s = (1.0, 3.0, 2.0)
             tasks = await self.wait(*[Urgency(now_s + 100, run_s) for run_s in runs_s])
-            self.room.tick(now_s)
+            self.batch_scheduler.tick(now_s)
             await settle()
             for name, task in zip(("short", "long", "middle"), tasks, strict=True):
                 task.result().preempt = lambda name=name: taken.append(name)
             for _ in tasks:
-                self.room.preempt_one("llm")
+                self.batch_scheduler.preempt_one("llm")
             self.assertEqual(["long", "middle", "short"], taken)
 
         self.scenario(work)
@@ -247,7 +250,7 @@
     def test_cancelled_wait_takes_no_slot(self) -> None:
         async def work() -> None:
             tasks = await self.wait(SOON)
-            self.room.tick(0.0)
+            self.batch_scheduler.tick(0.0)
             tasks[0].cancel()
             await settle()
             self.assertEqual(0, self.worker.in_flight)
--- a/tests/serving/test_forwarder.py
+++ b/tests/serving/test_forwarder.py
@@ -48,7 +48,7 @@
             fleet.protocol,
             fleet.shares,
             fleet.queue,
-            fleet.room,
+            fleet.batch_scheduler,
             fleet.quarantine,
             fleet.metrics,
             fleet.log,
--- a/tests/serving/test_online_queue.py
+++ b/tests/serving/test_online_queue.py
@@ -32,7 +32,7 @@
             fleet = Fleet()
             self.directory = fleet.directory
             self.queue = fleet.queue
-            self.room = fleet.room
+            self.batch_scheduler = fleet.batch_scheduler
             for number in range(workers):
                 self.directory.put(worker_record(number, slots=SLOTS), 0.0)
             self.worker: Worker = self.directory.workers["w0"]
@@ -55,9 +55,11 @@
         self.queue.hand_over(self.worker, self.loop.time())
 
     async def place_item(self) -> Placement:
-        task = asyncio.create_task(self.room.acquire("llm", Urgency(self.loop.time() + 100)))
+        task = asyncio.create_task(
+            self.batch_scheduler.acquire("llm", Urgency(self.loop.time() + 100))
+        )
         await settle()
-        self.room.tick(self.loop.time())
+        self.batch_scheduler.tick(self.loop.time())
         return await task
 
     def test_a_request_goes_to_a_free_slot_at_once(self) -> None:
@@ -201,7 +203,7 @@
     def test_an_own_item_gives_its_slot_to_a_request_at_once(self) -> None:
         async def work() -> None:
             placement = await self.place_item()
-            placement.preempt = lambda: self.room.release(placement)
+            placement.preempt = lambda: self.batch_scheduler.release(placement)
             self.worker.in_flight += SLOTS - 1
             task = await self.ask()
             self.assertIs(self.worker, await task)
@@ -217,20 +219,22 @@
             placement.preempt = lambda: taken.append(1)
             self.worker.peer_online = SLOTS - 1
             self.queue.demand.peers_by_service["llm"] = Waiting(1)
-            self.room.tick(self.loop.time())
+            self.batch_scheduler.tick(self.loop.time())
             self.assertEqual([1], taken)
 
         self.scenario(work)
 
     def test_no_item_starts_while_requests_wait(self) -> None:
         async def work() -> None:
-            task = asyncio.create_task(self.room.acquire("llm", Urgency(self.loop.time() + 100)))
+            task = asyncio.create_task(
+                self.batch_scheduler.acquire("llm", Urgency(self.loop.time() + 100))
+            )
             await settle()
             self.queue.demand.peers_by_service["llm"] = Waiting(1)
-            self.room.tick(self.loop.time())
+            self.batch_scheduler.tick(self.loop.time())
             self.queue.demand.peers_by_service["llm"] = Waiting()
             self.assertFalse(task.done())
-            self.room.tick(self.loop.time())
+            self.batch_scheduler.tick(self.loop.time())
             await settle()
             self.assertTrue(task.done())
 
@@ -243,11 +247,13 @@
             for number in range(6):
                 self.directory.workers[f"w{number}"].peer_online = 1 + number % 2
             tasks = [
-                asyncio.create_task(self.room.acquire("llm", Urgency(self.loop.time() + 100)))
+                asyncio.create_task(
+                    self.batch_scheduler.acquire("llm", Urgency(self.loop.time() + 100))
+                )
                 for _ in range(20)
             ]
             await settle()
-            self.room.tick(self.loop.time())
+            self.batch_scheduler.tick(self.loop.time())
             await settle()
             self.assertEqual(12, sum(task.done() for task in tasks))
 
--- a/tests/serving/test_residency.py
+++ b/tests/serving/test_residency.py
@@ -72,7 +72,7 @@
         for number, zone in enumerate(("n1", "n2", "s1", "w1")):
             self.directory.put(record(number, zone), 0.0)
         self.queue = OnlineQueue(self.directory, random.Random(2))
-        self.room = BatchScheduler(self.directory, self.queue, random.Random(1))
+        self.batch_scheduler = BatchScheduler(self.directory, self.queue, random.Random(1))
         self.south = self.directory.pool("llm", SOUTH)
 
     def worker(self, worker_id: str) -> Worker:
@@ -147,9 +147,9 @@
     def test_items_run_in_the_regions_of_their_job(self) -> None:
         async def scenario() -> None:
             for _ in range(2):
-                task = asyncio.create_task(self.room.acquire(self.south, Urgency(100.0)))
+                task = asyncio.create_task(self.batch_scheduler.acquire(self.south, Urgency(100.0)))
                 await settle()
-                self.room.tick(0.0)
+                self.batch_scheduler.tick(0.0)
                 await settle()
             self.assertEqual(1, self.worker("s1-2").batch_in_flight)
             self.assertFalse(task.done(), "there is one slot in the south")
@@ -161,9 +161,9 @@
         async def scenario() -> None:
             placements = []
             for _ in range(4):
-                task = asyncio.create_task(self.room.acquire("llm", Urgency(100.0)))
+                task = asyncio.create_task(self.batch_scheduler.acquire("llm", Urgency(100.0)))
                 await settle()
-                self.room.tick(0.0)
+                self.batch_scheduler.tick(0.0)
                 await settle()
                 placements.append(task.result())
             preempted = []
--- a/tests/serving/test_slot_lending.py
+++ b/tests/serving/test_slot_lending.py
@@ -61,7 +61,7 @@
         fleet = Fleet()
         self.directory = fleet.directory
         self.queue = fleet.queue
-        self.room = fleet.room
+        self.batch_scheduler = fleet.batch_scheduler
         self.silent = False
         for number in range(2):
             self.directory.put(worker_record(number, slots=SLOTS), 0.0)
@@ -73,7 +73,7 @@
         self.net = Net(name, by_name)
         self.lending = SlotLending(self.directory, name, self.net, random.Random(5))
         self.lending.may_lend = lambda service: not self.queue.waits_here(service)
-        self.lending.preempt_own = self.room.preempt_one
+        self.lending.preempt_own = self.batch_scheduler.preempt_one
         self.lending.use = self.queue.use
         self.queue.lending = self.lending
         by_name[name] = self
@@ -197,10 +197,10 @@
             placements: list[Placement] = []
             for _ in range(SLOTS):
                 waiting = asyncio.create_task(
-                    self.b.room.acquire("llm", Urgency(self.loop.time() + 100))
+                    self.b.batch_scheduler.acquire("llm", Urgency(self.loop.time() + 100))
                 )
                 await asyncio.sleep(0)
-                self.b.room._grant("llm", 1, self.loop.time())
+                self.b.batch_scheduler._grant("llm", 1, self.loop.time())
                 placements.append(await waiting)
             preempted: list[int] = []
             for number, placement in enumerate(placements):
--- a/tests/stand_ins/harness.py
+++ b/tests/stand_ins/harness.py
@@ -104,7 +104,7 @@
         self.protocol = PlatformWorkerProtocol()
         self.shares = ShareChooser(self.source)
         self.queue = OnlineQueue(self.directory, random.Random(2))
-        self.room = BatchScheduler(self.directory, self.queue, random.Random(1))
+        self.batch_scheduler = BatchScheduler(self.directory, self.queue, random.Random(1))
         self.metrics = ServingMetrics()
         self.log = LineLog()
         self.ends = WorkerEnds(self.connections, self.metrics, self.log)
