--- a/mountstand/jobs/item_execution.py
+++ b/mountstand/jobs/item_execution.py
@@ -204,7 +204,7 @@
                 piece = await connection.read_piece()
             if piece is None:
                 break
-            worker.last_heard_s = worker.last_said_s = loop.time()
+            worker.last_contact_s = worker.last_data_s = loop.time()
             for event in splitter.feed(piece):
                 progress.texts.append(event.data.decode("utf-8", "replace"))
                 progress.last_event_id = event.event_id
--- a/mountstand/serving/connections.py
+++ b/mountstand/serving/connections.py
@@ -95,8 +95,8 @@
 
     def release(self, worker: Worker, connection: ClientConnection, limit: int) -> None:
         """Take a connection back; at most ``limit`` idle ones per worker are kept."""
-        worker.last_heard_s = max(worker.last_heard_s, connection.last_received_at_s)
-        worker.last_said_s = max(worker.last_said_s, connection.last_bytes_at_s)
+        worker.last_contact_s = max(worker.last_contact_s, connection.last_received_at_s)
+        worker.last_data_s = max(worker.last_data_s, connection.last_bytes_at_s)
         if not connection.end_exchange():
             return
         idle = self._idle.setdefault(worker.incarnation, [])
@@ -141,7 +141,7 @@
         self, worker: Worker, now_s: float, repeatable: bool
     ) -> ClientConnection | None:
         idle = self._idle.get(worker.incarnation, [])
-        heard_s = worker.last_heard_s
+        heard_s = worker.last_contact_s
         while idle:
             connection = idle.pop()
             heard_s = max(heard_s, connection.last_received_at_s)
--- a/mountstand/serving/reply_relay.py
+++ b/mountstand/serving/reply_relay.py
@@ -90,7 +90,7 @@
     async def _check_alive(self, worker: Worker) -> None:
         """Check a silent worker. Raises ``WorkerSilent`` if it accepts no connection either."""
         loop = asyncio.get_running_loop()
-        if loop.time() - worker.last_heard_s < SUSPICION_S:
+        if loop.time() - worker.last_contact_s < SUSPICION_S:
             return
         try:
             await self._connections.check(worker)
@@ -166,7 +166,7 @@
         except TimeoutError:
             worker.note_full(loop.time())
             raise WorkerSilent("stalled between events") from None
-        worker.last_said_s = loop.time()
+        worker.last_data_s = loop.time()
         return piece
 
     async def _pass_on(self, exchange: Exchange, events: list[StreamEvent]) -> None:
--- a/mountstand/serving/worker.py
+++ b/mountstand/serving/worker.py
@@ -94,12 +94,12 @@
     usual_slowdown: float = 1.0
     avoid_until_s: float = 0.0
     connect_failures: int = 0
-    last_heard_s: float = float("-inf")
-    last_said_s: float = float("-inf")
+    last_contact_s: float = float("-inf")
+    last_data_s: float = float("-inf")
     """When something that it sent itself last came, an event or any other part of an answer. It is
     heard of besides when a connection is accepted, which a port forwarder does for a dead one.
     An event of an online stream tells that it runs, but not that idle connections to it still work,
-    so these are trusted by ``last_heard_s`` alone."""
+    so these are trusted by ``last_contact_s`` alone."""
 
     unreachable_at_s: float = float("-inf")
     leaving_since_s: float | None = None
@@ -178,13 +178,13 @@
 
     def note_reached(self, now_s: float) -> None:
         """Note that a connection was accepted at the worker's address."""
-        self.last_heard_s = now_s
+        self.last_contact_s = now_s
         self.connect_failures = 0
 
     def note_heard(self, now_s: float) -> None:
         """Note that the worker said something."""
         self.note_reached(now_s)
-        self.last_said_s = now_s
+        self.last_data_s = now_s
 
     def note_connect_failed(self, now_s: float) -> None:
         """Avoid the worker for a while, longer each time."""
@@ -195,7 +195,7 @@
 
     def note_unreachable_for_peer(self, now_s: float) -> None:
         """Avoid the worker for a while on a peer's word, unless it was just heard from."""
-        if now_s - self.last_heard_s > PEER_DOUBT_S:
+        if now_s - self.last_contact_s > PEER_DOUBT_S:
             self._avoid_as_unreachable(max(self.avoid_until_s, now_s + UNREACHABLE_S))
 
     def _avoid_as_unreachable(self, until_s: float) -> None:
--- a/mountstand/serving/worker_ends.py
+++ b/mountstand/serving/worker_ends.py
@@ -130,7 +130,7 @@
             if refusals >= REFUSALS_NEEDED:
                 return True
             await asyncio.sleep(pause_s)
-        said_s = worker.last_said_s
+        said_s = worker.last_data_s
         ended = turned_away == MOST_CHECKS and said_s <= began_s + LAST_WORDS_S
         if not ended:
             self._note_alive(worker, "said something or unclear", MOST_CHECKS, turned_away, began_s)
@@ -141,7 +141,7 @@
     ) -> None:
         """Tell why a worker at which an exchange broke is not taken as ended."""
         now_s = asyncio.get_running_loop().time()
-        said_s = worker.last_said_s
+        said_s = worker.last_data_s
         self._log.event(
             "worker_not_ended",
             worker=worker.record.worker_id,
--- a/tests/serving/test_forwarder.py
+++ b/tests/serving/test_forwarder.py
@@ -212,7 +212,9 @@
                 front.prompt = self.PROMPT
                 asked = asyncio.create_task(front.ask())
                 worker = front.fleet.directory.workers["w0"]
-                await eventually(lambda: worker.last_heard_s > 0 and not worker.unread, "it begins")
+                await eventually(
+                    lambda: worker.last_contact_s > 0 and not worker.unread, "it begins"
+                )
                 self.assertEqual(1, worker.in_flight)
                 await asked
 
