--- a/mountstand/serving/batch_room.py
+++ b/mountstand/serving/batch_room.py
@@ -120,7 +120,7 @@
         placements = self._placements.get(worker.record.worker_id, [])
         if placement in placements:
             placements.remove(placement)
-        self._online.hand_over(worker, asyncio.get_running_loop().time())
+        self._online.assign_freed_slot(worker, asyncio.get_running_loop().time())
 
     def tick(self, now_s: float, hops: int = 0) -> None:
         """Preempt and grant; call once per period of the digests.
--- a/mountstand/serving/forwarder.py
+++ b/mountstand/serving/forwarder.py
@@ -281,7 +281,7 @@
 
     def _free_slot(self, worker: Worker) -> None:
         worker.in_flight -= 1
-        self._queue.hand_over(worker, asyncio.get_running_loop().time())
+        self._queue.assign_freed_slot(worker, asyncio.get_running_loop().time())
 
     async def _exchange_with(
         self, exchange: Exchange, worker: Worker, connection: ClientConnection
--- a/mountstand/serving/online_queue.py
+++ b/mountstand/serving/online_queue.py
@@ -111,7 +111,7 @@
 
     ``on_over`` is told which tenants go behind others, when that changes while requests wait.
     ``preempt_own`` is called for a service whose requests begin to wait here: it takes a batch item
-    of this daemon off its worker, if there is one, whose slot then comes by ``hand_over``.
+    of this daemon off its worker, if there is one, whose slot then comes by ``assign_freed_slot``.
     """
 
     def __init__(self, directory: WorkerDirectory, source: random.Random) -> None:
@@ -262,7 +262,7 @@
         assert self.lending is not None
         await self.lending.borrow(service)
 
-    def hand_over(self, worker: Worker, now_s: float) -> None:
+    def assign_freed_slot(self, worker: Worker, now_s: float) -> None:
         """Give a slot that this daemon just freed at ``worker`` to a request that waits here."""
         if not worker.takes_work(now_s):
             return
--- a/tests/model/test_online_queue.py
+++ b/tests/model/test_online_queue.py
@@ -79,7 +79,7 @@
     def end(self, index: int) -> None:
         worker = self.running.pop(index)
         worker.in_flight -= 1
-        self.queue.hand_over(worker, self.loop.time())
+        self.queue.assign_freed_slot(worker, self.loop.time())
 
     def collect(self) -> None:
         """Take the requests that were given a worker, and check the counts."""
--- a/tests/serving/test_fair_shares.py
+++ b/tests/serving/test_fair_shares.py
@@ -113,7 +113,7 @@
                 await asyncio.sleep(0.005)
             for _ in tasks:
                 worker.in_flight -= 1
-                fleet.queue.hand_over(worker, loop.time())
+                fleet.queue.assign_freed_slot(worker, loop.time())
                 await settle()
             self.assertEqual(["t1", "t3", "hot", "hot", "t2"], started, "priority goes before")
 
--- a/tests/serving/test_online_queue.py
+++ b/tests/serving/test_online_queue.py
@@ -52,7 +52,7 @@
     def end_one(self) -> None:
         """End a request of this daemon at the worker."""
         self.worker.in_flight -= 1
-        self.queue.hand_over(self.worker, self.loop.time())
+        self.queue.assign_freed_slot(self.worker, self.loop.time())
 
     async def place_item(self) -> Placement:
         task = asyncio.create_task(
@@ -274,7 +274,7 @@
             late.append(self.loop.time() - began_s > OBJECTIVE_S / 2)
             await asyncio.sleep(source.uniform(0.5, 1.5) * USUAL_S)
             worker.in_flight -= 1
-            self.queue.hand_over(worker, self.loop.time())
+            self.queue.assign_freed_slot(worker, self.loop.time())
 
         async def work() -> None:
             source = random.Random(5)
--- a/tests/serving/test_residency.py
+++ b/tests/serving/test_residency.py
@@ -112,11 +112,11 @@
             bound, free = await self.ask(self.south), await self.ask("llm")
             loop = asyncio.get_running_loop()
             self.worker("n1-0").in_flight = 0
-            self.queue.hand_over(self.worker("n1-0"), loop.time())
+            self.queue.assign_freed_slot(self.worker("n1-0"), loop.time())
             await settle()
             self.assertEqual((False, "n1-0"), (bound.done(), free.result().record.worker_id))
             self.worker("s1-2").in_flight = 0
-            self.queue.hand_over(self.worker("s1-2"), loop.time())
+            self.queue.assign_freed_slot(self.worker("s1-2"), loop.time())
             await settle()
             self.assertEqual("s1-2", bound.result().record.worker_id)
 
--- a/tests/serving/test_slot_lending.py
+++ b/tests/serving/test_slot_lending.py
@@ -94,7 +94,7 @@
         """End a request of this daemon at a worker."""
         worker = self.worker(number)
         worker.in_flight -= 1
-        self.queue.hand_over(worker, asyncio.get_running_loop().time())
+        self.queue.assign_freed_slot(worker, asyncio.get_running_loop().time())
 
 
 class Lending(TestCase):
