--- a/mountstand/serving/connections.py
+++ b/mountstand/serving/connections.py
@@ -90,7 +90,7 @@
         except ConnectFailed:
             worker.note_connect_failed(loop.time())
             raise
-        worker.note_reached(loop.time())
+        worker.note_connected(loop.time())
         return connection
 
     def release(self, worker: Worker, connection: ClientConnection, limit: int) -> None:
--- a/mountstand/serving/worker.py
+++ b/mountstand/serving/worker.py
@@ -176,14 +176,14 @@
         """
         return (self.estimated_load(now_s) + more) / self.slots() * self.slowdown(now_s)
 
-    def note_reached(self, now_s: float) -> None:
+    def note_connected(self, now_s: float) -> None:
         """Note that a connection was accepted at the worker's address."""
         self.last_contact_s = now_s
         self.connect_failures = 0
 
     def note_heard(self, now_s: float) -> None:
         """Note that the worker said something."""
-        self.note_reached(now_s)
+        self.note_connected(now_s)
         self.last_data_s = now_s
 
     def note_connect_failed(self, now_s: float) -> None:
