--- a/mountstand/serving/batch_room.py
+++ b/mountstand/serving/batch_room.py
@@ -97,7 +97,7 @@
         self._source = source
         self.demand = SlotDemand()
         self.durations = online.batch_durations
-        online.preempt_own = self.preempt_one
+        online.preempt_batch_item = self.preempt_one
         self._waiting: dict[str, list[_Waiter]] = {}
         self._placements: dict[str, list[Placement]] = {}
 
--- a/mountstand/serving/online_queue.py
+++ b/mountstand/serving/online_queue.py
@@ -110,7 +110,7 @@
     """The online requests of this daemon that wait, by service.
 
     ``on_over`` is told which tenants go behind others, when that changes while requests wait.
-    ``preempt_own`` is called for a service whose requests begin to wait here: it takes a batch item
+    ``preempt_batch_item`` is called for a service whose requests begin to wait here: it takes a batch item
     of this daemon off its worker, if there is one, whose slot then comes by ``assign_freed_slot``.
     """
 
@@ -119,7 +119,7 @@
         self._source = source
         self.demand = SlotDemand()
         self.batch_durations = UsualDurations()
-        self.preempt_own: Callable[[str], Worker | None] = lambda service: None
+        self.preempt_batch_item: Callable[[str], Worker | None] = lambda service: None
         self.lending: SlotLending | None = None
         self._borrowing: dict[str, set[asyncio.Task[None]]] = {}
         self._waiting: dict[str, list[_Waiter]] = {}
@@ -160,7 +160,7 @@
 
     async def _wait(self, service: str, waiter: _Waiter, times: StartTimes) -> Worker | None:
         self._waiting[service].append(waiter)
-        if self.preempt_own(service) is None:
+        if self.preempt_batch_item(service) is None:
             self._borrow(service)
         try:
             async with asyncio.timeout_at(times.latest_s):
--- a/mountstand/serving/slot_lending.py
+++ b/mountstand/serving/slot_lending.py
@@ -66,7 +66,7 @@
     """Borrows slots from other daemons, and lends this daemon's own.
 
     ``may_lend`` says whether no request waits here itself, so that free slots may go to others;
-    ``preempt_own`` takes a batch item of this daemon off and returns the worker, if there is one:
+    ``preempt_batch_item`` takes a batch item of this daemon off and returns the worker, if there is one:
     requests that wait here have each had one taken off already. ``use`` gives a slot to a request
     that waits here, and returns whether there is one.
     """
@@ -81,7 +81,7 @@
         self._numbers = itertools.count(rng.getrandbits(32))
         self._answer_by_number: dict[int, asyncio.Future[bool]] = {}
         self.may_lend: Callable[[str], bool] = lambda service: True
-        self.preempt_own: Callable[[str], Worker | None] = lambda service: None
+        self.preempt_batch_item: Callable[[str], Worker | None] = lambda service: None
         self.use: Callable[[Worker], bool] = lambda worker: False
         self._unserved_by_service: dict[str, deque[_Unserved]] = {}
 
@@ -168,7 +168,7 @@
         """Return a worker whose slot another daemon may use, and count the slot as taken."""
         worker = self._directory.choose_own(service, now_s) if self.may_lend(service) else None
         if worker is None:
-            worker = self.preempt_own(service)
+            worker = self.preempt_batch_item(service)
         if worker is not None:
             worker.note_lent(self._held_until_s(now_s))
         return worker
