--- a/mountstand/jobs/item_execution.py
+++ b/mountstand/jobs/item_execution.py
@@ -158,7 +158,7 @@
         async with asyncio.timeout(FIRST_EVENT_S):
             head = await connection.read_head()
         reading.end()
-        worker.note_heard(loop.time())
+        worker.note_response(loop.time())
         meaning = context.protocol.meaning(head)
         if meaning.load is not None:
             worker.note_load(meaning.load, loop.time())
--- a/mountstand/serving/reply_relay.py
+++ b/mountstand/serving/reply_relay.py
@@ -54,7 +54,7 @@
         """
         head = await self._read_head(exchange, worker, connection)
         now_s = asyncio.get_running_loop().time()
-        worker.note_heard(now_s)
+        worker.note_response(now_s)
         meaning = self._protocol.meaning(head)
         if meaning.load is not None:
             exchange.load = meaning.load
--- a/mountstand/serving/worker.py
+++ b/mountstand/serving/worker.py
@@ -181,7 +181,7 @@
         self.last_contact_s = now_s
         self.connect_failures = 0
 
-    def note_heard(self, now_s: float) -> None:
+    def note_response(self, now_s: float) -> None:
         """Note that the worker said something."""
         self.note_connected(now_s)
         self.last_data_s = now_s
