--- a/mountstand/serving/batch_room.py
+++ b/mountstand/serving/batch_room.py
@@ -97,7 +97,7 @@
         self._source = source
         self.demand = SlotDemand()
         self.durations = online.batch_durations
-        online.preempt_batch_item = self.preempt_one
+        online.preempt_batch_item = self.preempt_batch_item
         self._waiting: dict[str, list[_Waiter]] = {}
         self._placements: dict[str, list[Placement]] = {}
 
@@ -168,7 +168,7 @@
         if worker.batch_in_flight and self._online.excess(worker, now_s) > 0:
             self._preempt_least_urgent(self._placements_at(worker))
 
-    def preempt_one(self, service: str) -> Worker | None:
+    def preempt_batch_item(self, service: str) -> Worker | None:
         """Take this daemon's least urgent item of a service off, if there is one; return where."""
         return self._preempt_least_urgent(
             [
@@ -221,7 +221,7 @@
             return
         share = own / sum(worker.batch for worker in workers)
         for _ in range(min(own, round_by_chance(lacking * share * part, self._source))):
-            self.preempt_one(service)
+            self.preempt_batch_item(service)
 
     def _placements_at(self, worker: Worker) -> list[Placement]:
         return self._placements.get(worker.record.worker_id, [])
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -165,7 +165,7 @@
             self.directory, settings.name, MembershipMessageLink(self.membership), source_of_chance
         )
         self._lending.may_lend = lambda service: not self.queue.waits_here(service)
-        self._lending.preempt_batch_item = self.batch_scheduler.preempt_one
+        self._lending.preempt_batch_item = self.batch_scheduler.preempt_batch_item
         self._lending.use = self.queue.use
         self._limits = ServingLimits(
             settings,
--- a/tests/serving/test_batch_room.py
+++ b/tests/serving/test_batch_room.py
@@ -242,7 +242,7 @@
             for name, task in zip(("short", "long", "middle"), tasks, strict=True):
                 task.result().preempt = lambda name=name: taken.append(name)
             for _ in tasks:
-                self.batch_scheduler.preempt_one("llm")
+                self.batch_scheduler.preempt_batch_item("llm")
             self.assertEqual(["long", "middle", "short"], taken)
 
         self.scenario(work)
