--- a/mountstand/jobs/item_execution.py
+++ b/mountstand/jobs/item_execution.py
@@ -166,7 +166,7 @@
             context.directory.forget(worker)
             return None
         if meaning.kind is ReplyKind.NOT_RUN:
-            worker.note_full(loop.time())
+            worker.note_overloaded(loop.time())
             return None
         if head.status != 200:
             return self._note_failure(progress, route, worker, head.status)
--- a/mountstand/serving/reply_relay.py
+++ b/mountstand/serving/reply_relay.py
@@ -105,7 +105,7 @@
             self._directory.forget(worker)
             return Outcome.OTHER_WORKER
         exchange.cause = "worker full"
-        worker.note_full(now_s)
+        worker.note_overloaded(now_s)
         return Outcome.NOT_RUN
 
     async def _relay_whole(
@@ -164,7 +164,7 @@
             async with asyncio.timeout(stall_s):
                 piece = await connection.read_piece()
         except TimeoutError:
-            worker.note_full(loop.time())
+            worker.note_overloaded(loop.time())
             raise WorkerSilent("stalled between events") from None
         worker.last_data_s = loop.time()
         return piece
--- a/mountstand/serving/worker.py
+++ b/mountstand/serving/worker.py
@@ -208,7 +208,7 @@
         if self.cold is not None:
             self.cold.note_cold(at_s + self.cold.cold.lasts_s)
 
-    def note_full(self, now_s: float) -> None:
+    def note_overloaded(self, now_s: float) -> None:
         """Avoid the worker for a moment."""
         self.avoid_until(now_s + FULL_S)
 
