--- a/mountstand/serving/online_queue.py
+++ b/mountstand/serving/online_queue.py
@@ -109,7 +109,7 @@
 class OnlineQueue:
     """The online requests of this daemon that wait, by service.
 
-    ``on_over`` is told which tenants go behind others, when that changes while requests wait.
+    ``on_over_share_changed`` is told which tenants go behind others, when that changes while requests wait.
     ``preempt_batch_item`` is called for a service whose requests begin to wait here: it takes a batch item
     of this daemon off its worker, if there is one, whose slot then comes by ``assign_freed_slot``.
     """
@@ -126,7 +126,9 @@
         self._queue_s_by_service: dict[str, float] = {}
         self._shares_by_service: dict[str, FairShares] = {}
         self._told_over_by_service: dict[str, frozenset[str]] = {}
-        self.on_over: Callable[[str, frozenset[str]], object] = lambda service, tenants: None
+        self.on_over_share_changed: Callable[[str, frozenset[str]], object] = (
+            lambda service, tenants: None
+        )
 
     async def acquire(
         self, service: str, prompt: Prompt, times: StartTimes, call: Call | None = None
@@ -285,7 +287,7 @@
         over = self._shares(service).over(now_s)
         if over != self._told_over_by_service.get(service, frozenset()):
             self._told_over_by_service[service] = over
-            self.on_over(service, over)
+            self.on_over_share_changed(service, over)
         return over
 
     def _shares(self, service: str) -> FairShares:
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -140,7 +140,7 @@
             log,
         )
         self.quarantine.on_blocked = self.queue.reject
-        self.queue.on_over = self._note_over_share
+        self.queue.on_over_share_changed = self._note_over_share
         self.forwarder = Forwarder(
             self.directory,
             self.connections,
