--- a/mountstand/serving/load_sharing.py
+++ b/mountstand/serving/load_sharing.py
@@ -264,7 +264,7 @@
         keys = {
             worker.key
             for worker in self._directory.workers.values()
-            if worker.unreachable_at_s > since_s
+            if worker.last_connect_failure_s > since_s
         }
         if self._group.members:
             keys.update(self._unreachable_heard)
--- a/mountstand/serving/worker.py
+++ b/mountstand/serving/worker.py
@@ -101,7 +101,7 @@
     An event of an online stream tells that it runs, but not that idle connections to it still work,
     so these are trusted by ``last_contact_s`` alone."""
 
-    unreachable_at_s: float = float("-inf")
+    last_connect_failure_s: float = float("-inf")
     leaving_since_s: float | None = None
     evacuated_since_s: float | None = None
     cold: ColdBudget | None = None
@@ -190,7 +190,7 @@
         """Avoid the worker for a while, longer each time."""
         pause_s = min(LONGEST_UNREACHABLE_S, UNREACHABLE_S * 2**self.connect_failures)
         self.connect_failures += 1
-        self.unreachable_at_s = now_s
+        self.last_connect_failure_s = now_s
         self._avoid_as_unreachable(now_s + pause_s)
 
     def note_unreachable_for_peer(self, now_s: float) -> None:
