--- a/tests/serving/test_forwarder.py
+++ b/tests/serving/test_forwarder.py
@@ -75,7 +75,7 @@
         deadline_s = request.received_at_s + limit_s
         await self.forwarder.forward(self.route, call, responder, request.received_at_s, deadline_s)
 
-    async def ask(self, request_id: str = "r1") -> tuple[int, bytes, bool]:
+    async def send_request(self, request_id: str = "r1") -> tuple[int, bytes, bool]:
         """Return status, body, and whether the answer came whole."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         head = f"POST /x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {request_id}\r\n"
@@ -138,7 +138,7 @@
         async with ForwarderHarness(used, (first,), (others,), (others,)) as front:
             front.fleet.directory.workers["w1"].in_flight = 1
             front.fleet.directory.workers["w2"].in_flight = 1
-            found = await front.ask()
+            found = await front.send_request()
             self.assertEqual(status, found[0], name)
             self.assertEqual(received, len(front.fleet.received()), name)
             self.assertEqual(len(set(front.fleet.received())), received, f"{name}: no worker twice")
@@ -148,7 +148,7 @@
     def test_each_dispatch_names_its_worker_and_what_time_is_left(self) -> None:
         async def scenario() -> None:
             async with ForwarderHarness(ONCE, (whole(),)) as front:
-                await front.ask()
+                await front.send_request()
                 received = front.workers[0].received[0]
                 self.assertEqual("w0", received.headers.get("expect-instance"))
                 self.assertEqual("r1", received.headers.get("request-id"))
@@ -163,7 +163,7 @@
             async with ForwarderHarness(ONCE, (whole(),), (whole(),)) as front:
                 await front.workers[0].stop()
                 front.fleet.directory.workers["w1"].in_flight = 1
-                self.assertEqual(200, (await front.ask())[0])
+                self.assertEqual(200, (await front.send_request())[0])
                 self.assertEqual(["w1"], front.fleet.received())
 
         run(scenario())
@@ -182,7 +182,7 @@
                     return await acquire(*args, **options)
 
                 front.fleet.connections.acquire = lossy  # type: ignore[method-assign]
-                self.assertEqual(200, (await front.ask())[0])
+                self.assertEqual(200, (await front.send_request())[0])
                 line = front.fleet.log.lines("request_ended")[0]
                 self.assertEqual("ok", line["outcome"])
 
@@ -192,7 +192,7 @@
         async def scenario() -> None:
             async with ForwarderHarness(ONCE) as front:
                 began_s = asyncio.get_running_loop().time()
-                self.assertEqual(503, (await front.ask())[0])
+                self.assertEqual(503, (await front.send_request())[0])
                 self.assertLess(asyncio.get_running_loop().time() - began_s, 0.5)
 
         run(scenario())
@@ -210,7 +210,7 @@
         async def scenario() -> None:
             async with ForwarderHarness(PLAIN_STREAM, (stream(3, gap_s=0.3),)) as front:
                 front.prompt = self.PROMPT
-                asked = asyncio.create_task(front.ask())
+                asked = asyncio.create_task(front.send_request())
                 worker = front.fleet.directory.workers["w0"]
                 await eventually(
                     lambda: worker.last_contact_s > 0 and not worker.unread, "it begins"
@@ -225,7 +225,7 @@
             async with ForwarderHarness(ONCE, (silence,)) as front:
                 front.prompt = self.PROMPT
                 front.deadline_s = 0.5
-                asked = asyncio.create_task(front.ask())
+                asked = asyncio.create_task(front.send_request())
                 await eventually(lambda: self.unread(front) == 500, "it waits")
                 self.assertEqual(504, (await asked)[0])
                 self.assertEqual(0, self.unread(front))
@@ -236,7 +236,7 @@
         async def scenario() -> None:
             async with ForwarderHarness(REPEATABLE, (reset,), (reset,)) as front:
                 front.prompt = self.PROMPT
-                await front.ask()
+                await front.send_request()
                 self.assertEqual(0, self.unread(front))
 
         run(scenario())
@@ -248,7 +248,7 @@
             async with ForwarderHarness(ONCE, (silence,)) as front:
                 front.deadline_s = 0.3
                 began_s = asyncio.get_running_loop().time()
-                status, _, _ = await front.ask()
+                status, _, _ = await front.send_request()
                 took_s = asyncio.get_running_loop().time() - began_s
                 self.assertEqual(504, status)
                 self.assertTrue(0.25 < took_s < 0.6, took_s)
@@ -273,32 +273,34 @@
 class Streams(TestCase):
     EXPECTED = b"".join(event(number) for number in range(1, 7))
 
-    def ask(self, used: Route, *scripts: tuple[Answer, ...]) -> tuple[Any, ForwarderHarness]:
+    def send_request(
+        self, used: Route, *scripts: tuple[Answer, ...]
+    ) -> tuple[Any, ForwarderHarness]:
         async def scenario() -> tuple[Any, ForwarderHarness]:
             async with ForwarderHarness(used, *scripts) as front:
                 for number in range(1, len(front.workers)):
                     front.fleet.directory.workers[f"w{number}"].in_flight = number
-                return await front.ask(), front
+                return await front.send_request(), front
 
         return run(scenario())
 
     def test_whole_stream_is_passed_on_as_it_is(self) -> None:
-        found, _ = self.ask(PLAIN_STREAM, (stream(6),))
+        found, _ = self.send_request(PLAIN_STREAM, (stream(6),))
         self.assertEqual((200, self.EXPECTED, True), found)
 
     def test_cut_stream_is_resumed_after_its_last_whole_event(self) -> None:
-        found, front = self.ask(RESUMABLE, (stream(6, cut_after=3),), (stream(6),))
+        found, front = self.send_request(RESUMABLE, (stream(6, cut_after=3),), (stream(6),))
         self.assertEqual((200, self.EXPECTED, True), found)
         self.assertEqual(3, front.workers[1].received[0].resume_after)
         self.assertIn("stamp-r1", front.last_head)
 
     def test_stalled_stream_is_resumed_elsewhere(self) -> None:
-        found, front = self.ask(RESUMABLE, (stream(6, gap_s=2.0),), (stream(6),))
+        found, front = self.send_request(RESUMABLE, (stream(6, gap_s=2.0),), (stream(6),))
         self.assertEqual((200, self.EXPECTED, True), found)
         self.assertEqual(1, front.workers[1].received[0].resume_after)
 
     def test_cut_stream_that_may_not_be_resumed_does_not_look_whole(self) -> None:
-        found, front = self.ask(PLAIN_STREAM, (stream(6, cut_after=3),), (stream(6),))
+        found, front = self.send_request(PLAIN_STREAM, (stream(6, cut_after=3),), (stream(6),))
         status, body, complete = found
         self.assertEqual((200, False), (status, complete))
         self.assertEqual(b"".join(event(number) for number in range(1, 4)), body)
@@ -306,7 +308,7 @@
 
     def test_attempts_bound_resumption(self) -> None:
         cut = stream(6, cut_after=0)
-        found, front = self.ask(RESUMABLE, (cut,), (cut,), (cut,), (stream(6),))
+        found, front = self.send_request(RESUMABLE, (cut,), (cut,), (cut,), (stream(6),))
         self.assertEqual(False, found[2])
         self.assertEqual(3, len(front.fleet.received()))
 
@@ -314,7 +316,7 @@
         async def scenario() -> None:
             async with ForwarderHarness(RESUMABLE, (silence,), (stream(6),)) as front:
                 front.fleet.directory.workers["w1"].in_flight = 1
-                asking = asyncio.create_task(front.ask())
+                asking = asyncio.create_task(front.send_request())
                 await eventually(lambda: front.workers[0].received, "the worker has it")
                 assert front.workers[0]._server is not None
                 front.workers[0]._server.close()
@@ -328,7 +330,7 @@
         async def scenario() -> None:
             async with ForwarderHarness(REPEATABLE, (reset,), (whole(),)) as front:
                 front.fleet.directory.workers["w1"].in_flight = 1
-                await front.ask()
+                await front.send_request()
                 await eventually(lambda: front.fleet.log.lines("request_ended"), "it is told")
                 attempt = front.fleet.log.lines("attempt_failed")[0]
                 self.assertEqual(("r1", "w0", "may have run"), pick(attempt))
@@ -354,7 +356,7 @@
         async def scenario() -> list[int]:
             async with ForwarderHarness(used, script) as front:
                 front.fleet.directory.chooser.durations.note("llm", self.USUAL_S)
-                await front.ask()
+                await front.send_request()
                 worker = front.fleet.directory.workers["w0"]
                 counted = [worker.in_flight]
                 await asyncio.sleep(self.USUAL_S + 0.1)
@@ -380,7 +382,7 @@
             async with ForwarderHarness(ONCE, (BAD,)) as front:
                 durations = front.fleet.directory.chooser.durations
                 durations.note("llm", self.USUAL_S)
-                await front.ask()
+                await front.send_request()
                 return durations.usual_s("llm")
 
         self.assertEqual(self.USUAL_S, run(scenario()))
@@ -392,7 +394,7 @@
                 front.fleet.directory.chooser.durations.note("llm", 0.4)
                 asked = []
                 for number in range(24):
-                    asked.append(asyncio.create_task(front.ask(f"r{number}")))
+                    asked.append(asyncio.create_task(front.send_request(f"r{number}")))
                     await asyncio.sleep(0.02)
                 await asyncio.gather(*asked)
                 return front.fleet.received().count("w0")
@@ -413,9 +415,9 @@
                 now_s = asyncio.get_running_loop().time()
                 fleet.directory.use_cold_starts({"llm": ColdStart(5.0, 2.0)}, sends, now_s)
                 fleet.directory.workers["w0"].assume_restarted(now_s)
-                statuses = [(await front.ask(f"r{n}"))[0] for n in range(2)]
+                statuses = [(await front.send_request(f"r{n}"))[0] for n in range(2)]
                 front.deadline_s = 0.6
-                statuses.append((await front.ask("r2"))[0])
+                statuses.append((await front.send_request("r2"))[0])
                 self.assertEqual([200, 200, 503], statuses)
                 self.assertIn("retry-after", front.last_head.lower())
                 self.assertEqual(2, len(fleet.received()), "refused: not run")
--- a/tests/serving/test_held_back.py
+++ b/tests/serving/test_held_back.py
@@ -18,13 +18,13 @@
 from tests.stand_ins.worker import Answer, Received, StandInWorker, event, silence, stream, whole
 
 ANY_TRY = Call("r", HOST, "POST", "/x", (), b"body")
-"""What ``Front.ask`` sends, whatever its id."""
+"""What ``Front.send_request`` sends, whatever its id."""
 
 ROUTES = (ONCE, REPEATABLE, PLAIN_STREAM, RESUMABLE)
 
 
 def block(front: ForwarderHarness) -> None:
-    """Let three workers have ended under the request that ``Front.ask`` sends."""
+    """Let three workers have ended under the request that ``Front.send_request`` sends."""
     now_s = asyncio.get_running_loop().time()
     for key in (1, 2, 3):
         at_s = now_s - 3 + key
@@ -60,7 +60,7 @@
     def test_refused_at_once_with_the_time_of_its_next_trial(self) -> None:
         async def body(front: ForwarderHarness) -> None:
             block(front)
-            status, _, complete = await front.ask("r1")
+            status, _, complete = await front.send_request("r1")
             self.assertEqual((503, True), (status, complete))
             self.assertRegex(front.last_head.lower(), r"retry-after: (600|59\d\.)")
             self.assertEqual([], front.fleet.received())
@@ -85,7 +85,7 @@
             front.fleet.quarantine.on_blocked = front.fleet.queue.reject
             worker = front.fleet.directory.workers["w0"]
             worker.in_flight = 4
-            asking = asyncio.create_task(front.ask("r1"))
+            asking = asyncio.create_task(front.send_request("r1"))
             await eventually(lambda: front.fleet.queue.waits_here("llm"), "it waits")
             block(front)
             status, _, _ = await asyncio.wait_for(asking, 0.3)
@@ -97,7 +97,7 @@
 
     def test_one_that_ran_before_it_was_blocked_is_not_called_refused(self) -> None:
         async def body(front: ForwarderHarness) -> None:
-            asking = asyncio.create_task(front.ask("r1"))
+            asking = asyncio.create_task(front.send_request("r1"))
             await eventually(lambda: len(front.fleet.received()) == 1, "it runs")
             block(front)
             for writer in list(front.workers[0]._writers | front.workers[1]._writers):
@@ -113,7 +113,7 @@
             block(front)
             worker = front.fleet.directory.workers["w0"]
             for _ in range(5):
-                await front.ask("r1")
+                await front.send_request("r1")
             self.assertEqual(0, worker.in_flight)
 
         self.with_front(ONCE, body)
@@ -124,7 +124,7 @@
         async def scenario(used: Route) -> None:
             async with CrashingFront(used, (whole(),), (whole(),), (whole(),)) as front:
                 suspects = front.fleet.quarantine.suspects
-                await front.ask("r1")
+                await front.send_request("r1")
                 expected = min(used.max_attempts, 3) if used.repeatable else 1
                 key = ANY_TRY.content_key
                 await eventually(
@@ -145,7 +145,7 @@
             scripts = ((stream(8, gap_s=0.05),),) * 2
             async with CrashingFront(RESUMABLE, *scripts) as front:
                 front.crash = False
-                asking = asyncio.create_task(front.ask("r1"))
+                asking = asyncio.create_task(front.send_request("r1"))
                 await eventually(lambda: front.fleet.received(), "it runs")
                 first = next(worker for worker in front.workers if worker.received)
                 await asyncio.sleep(0.12)
@@ -164,7 +164,7 @@
         async def scenario() -> None:
             async with ForwarderHarness(REPEATABLE, (silence,), (silence,)) as front:
                 front.deadline_s = 2.5
-                asking = asyncio.create_task(front.ask("r1"))
+                asking = asyncio.create_task(front.send_request("r1"))
                 await eventually(lambda: front.fleet.received(), "it runs")
                 first = next(worker for worker in front.workers if worker.received)
                 assert first._server is not None
@@ -180,7 +180,7 @@
         async def scenario() -> None:
             script = (stream(5, cut_after=1),)
             async with ForwarderHarness(RESUMABLE, script, script, script) as front:
-                await front.ask("r1")
+                await front.send_request("r1")
                 await asyncio.sleep(0.5)
                 self.assertFalse(front.fleet.quarantine.suspects)
 
@@ -207,7 +207,7 @@
                     with fleet.quarantine.running(other, worker):
                         self.assertFalse(fleet.quarantine.allows(ANY_TRY, worker))
                         self.assertTrue(fleet.quarantine.allows(other, worker))
-                self.assertEqual(200, (await front.ask())[0])
+                self.assertEqual(200, (await front.send_request())[0])
                 names = [worker.record.worker_id for worker in kept]
                 self.assertTrue(len(kept) == 2 or fleet.received()[0] not in names)
 
--- a/tests/serving/test_rest_limit.py
+++ b/tests/serving/test_rest_limit.py
@@ -60,7 +60,7 @@
                 for i in range(5):
                     worker = next(iter(front.fleet.directory.workers.values()))
                     worker.last_contact_s = asyncio.get_running_loop().time()
-                    statuses.append((await front.ask(f"r{i}"))[0])
+                    statuses.append((await front.send_request(f"r{i}"))[0])
                     await asyncio.sleep(FORGET_AFTER_S + 0.1)
                 self.assertEqual([200, 502, 200, 200, 200], statuses)
 
--- a/tests/serving/test_suspended.py
+++ b/tests/serving/test_suspended.py
@@ -69,7 +69,7 @@
             async with ForwarderHarness(waiting_long, (whole(),)) as front:
                 worker = front.fleet.directory.workers["w0"]
                 worker.in_flight = 4
-                asking = asyncio.create_task(front.ask("r1"))
+                asking = asyncio.create_task(front.send_request("r1"))
                 await eventually(lambda: front.fleet.queue.waits_here("llm"), "it waits")
                 machine.suspend(SLEEP_S)
                 await asyncio.sleep(0)
@@ -84,7 +84,7 @@
         async def work(machine: SuspendedMachine) -> bool:
             async with ForwarderHarness(REPEATABLE, (silence,), (silence,)) as front:
                 front.deadline_s = 10.0
-                asking = asyncio.create_task(front.ask("r1"))
+                asking = asyncio.create_task(front.send_request("r1"))
                 await eventually(lambda: front.fleet.received(), "it runs")
                 machine.suspend(5.0)
                 for worker in front.workers:
@@ -111,9 +111,9 @@
         async def work(machine: SuspendedMachine) -> int:
             once = route(RequestKind.AT_MOST_ONCE)
             async with ForwarderHarness(once, (whole(),)) as front:
-                await front.ask("r1")
+                await front.send_request("r1")
                 machine.suspend(5.0)
-                await front.ask("r2")
+                await front.send_request("r2")
                 return front.workers[0].connections
 
         self.check(work, slept=2, unnoticed=1)
