--- a/mountstand/serving/online_queue.py
+++ b/mountstand/serving/online_queue.py
@@ -299,7 +299,7 @@
         if self.lending is not None and own and worker.has_free_slot(now_s):
             self.lending.offer(worker, now_s)
 
-    def use(self, worker: Worker) -> bool:
+    def assign_borrowed_slot(self, worker: Worker) -> bool:
         """Give a lent slot to the request that goes first; returns whether one waits."""
         waiting = self._waiting_for(worker, asyncio.get_running_loop().time())
         if not waiting:
--- a/mountstand/serving/slot_lending.py
+++ b/mountstand/serving/slot_lending.py
@@ -67,7 +67,7 @@
 
     ``may_lend`` says whether no request waits here itself, so that free slots may go to others;
     ``preempt_batch_item`` takes a batch item of this daemon off and returns the worker, if there is one:
-    requests that wait here have each had one taken off already. ``use`` gives a slot to a request
+    requests that wait here have each had one taken off already. ``assign_borrowed_slot`` gives a slot to a request
     that waits here, and returns whether there is one.
     """
 
@@ -82,7 +82,7 @@
         self._answer_by_number: dict[int, asyncio.Future[bool]] = {}
         self.may_lend: Callable[[str], bool] = lambda service: True
         self.preempt_batch_item: Callable[[str], Worker | None] = lambda service: None
-        self.use: Callable[[Worker], bool] = lambda worker: False
+        self.assign_borrowed_slot: Callable[[Worker], bool] = lambda worker: False
         self._unserved_by_service: dict[str, deque[_Unserved]] = {}
 
     def can_borrow(self, service: str) -> bool:
@@ -121,7 +121,7 @@
         worker = self._directory.by_key.get(key)
         if worker is None or not worker.takes_work(now_s):
             return False
-        if not self.use(worker):
+        if not self.assign_borrowed_slot(worker):
             self._link.send(SlotReturn(key), (sender,))
         return True
 
@@ -149,7 +149,7 @@
                 return await answer
         except TimeoutError:
             now_s = asyncio.get_running_loop().time()
-            return offer.worker.has_free_slot(now_s) and self.use(offer.worker)
+            return offer.worker.has_free_slot(now_s) and self.assign_borrowed_slot(offer.worker)
         finally:
             del self._answer_by_number[number]
 
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -166,7 +166,7 @@
         )
         self._lending.may_lend = lambda service: not self.queue.waits_here(service)
         self._lending.preempt_batch_item = self.batch_scheduler.preempt_batch_item
-        self._lending.use = self.queue.use
+        self._lending.assign_borrowed_slot = self.queue.assign_borrowed_slot
         self._limits = ServingLimits(
             settings,
             self.membership,
--- a/tests/serving/test_slot_lending.py
+++ b/tests/serving/test_slot_lending.py
@@ -74,7 +74,7 @@
         self.lending = SlotLending(self.directory, name, self.net, random.Random(5))
         self.lending.may_lend = lambda service: not self.queue.waits_here(service)
         self.lending.preempt_batch_item = self.batch_scheduler.preempt_batch_item
-        self.lending.use = self.queue.use
+        self.lending.assign_borrowed_slot = self.queue.assign_borrowed_slot
         self.queue.lending = self.lending
         by_name[name] = self
 
