--- a/mountstand/serving/load_sharing.py
+++ b/mountstand/serving/load_sharing.py
@@ -375,4 +375,4 @@
     def _note_unreachable(self, keys: set[int], now_s: float) -> None:
         worker_by_key = self._directory.by_key
         for key in keys & worker_by_key.keys():
-            worker_by_key[key].note_unreachable_for_peer(now_s)
+            worker_by_key[key].note_peer_reported_unreachable(now_s)
--- a/mountstand/serving/worker.py
+++ b/mountstand/serving/worker.py
@@ -193,7 +193,7 @@
         self.last_connect_failure_s = now_s
         self._avoid_as_unreachable(now_s + pause_s)
 
-    def note_unreachable_for_peer(self, now_s: float) -> None:
+    def note_peer_reported_unreachable(self, now_s: float) -> None:
         """Avoid the worker for a while on a peer's word, unless it was just heard from."""
         if now_s - self.last_contact_s > PEER_DOUBT_S:
             self._avoid_as_unreachable(max(self.avoid_until_s, now_s + UNREACHABLE_S))
--- a/tests/serving/test_worker_health.py
+++ b/tests/serving/test_worker_health.py
@@ -88,7 +88,7 @@
 
     def test_own_observations_are_told_but_not_those_of_peers(self) -> None:
         self.directory.workers["w0"].note_connect_failed(1.0)
-        self.directory.workers["w1"].note_unreachable_for_peer(1.0)
+        self.directory.workers["w1"].note_peer_reported_unreachable(1.0)
         self.directory.workers["w2"].health.own.add(1.0, failed=True)
         self.sharing.tick(1.05)
         self.assertEqual((self.keys[0],), self.sent[-1].unreachable)
