--- a/mountstand/serving/online_queue.py
+++ b/mountstand/serving/online_queue.py
@@ -199,7 +199,7 @@
         """The services and pools that requests wait for at this daemon."""
         return {pool for pool, waiting in self._waiting.items() if waiting}
 
-    def waits_here(self, service: str) -> bool:
+    def has_local_waiting(self, service: str) -> bool:
         """Return whether requests wait at this daemon."""
         return bool(self._waiting.get(service))
 
--- a/tests/serving/test_held_back.py
+++ b/tests/serving/test_held_back.py
@@ -86,7 +86,7 @@
             worker = front.fleet.directory.workers["w0"]
             worker.in_flight = 4
             asking = asyncio.create_task(front.send_request("r1"))
-            await eventually(lambda: front.fleet.queue.waits_here("llm"), "it waits")
+            await eventually(lambda: front.fleet.queue.has_local_waiting("llm"), "it waits")
             block(front)
             status, _, _ = await asyncio.wait_for(asking, 0.3)
             self.assertEqual(503, status)
--- a/tests/serving/test_suspended.py
+++ b/tests/serving/test_suspended.py
@@ -70,7 +70,7 @@
                 worker = front.fleet.directory.workers["w0"]
                 worker.in_flight = 4
                 asking = asyncio.create_task(front.send_request("r1"))
-                await eventually(lambda: front.fleet.queue.waits_here("llm"), "it waits")
+                await eventually(lambda: front.fleet.queue.has_local_waiting("llm"), "it waits")
                 machine.suspend(SLEEP_S)
                 await asyncio.sleep(0)
                 worker.in_flight = 0
