--- a/mountstand/serving/load_sharing.py
+++ b/mountstand/serving/load_sharing.py
@@ -247,7 +247,7 @@
                 worker.batch_in_flight,
                 quarters(outcomes.succeeded),
                 quarters(outcomes.failed),
-                unread=-(-worker.own_unread // TOKENS_PER_BLOCK),
+                unread=-(-worker.own_prefill_tokens // TOKENS_PER_BLOCK),
             )
             if not counts.empty:
                 counts_by_key[worker.key] = counts
@@ -333,7 +333,7 @@
             counts = peers.get(key, none)
             worker.peer_online = max(0, counts.online)
             worker.peer_batch = max(0, counts.batch)
-            worker.peer_unread = max(0, counts.unread) * TOKENS_PER_BLOCK
+            worker.peer_prefill_tokens = max(0, counts.unread) * TOKENS_PER_BLOCK
             worker.health.peers_succeeded = max(0, counts.succeeded) / QUARTERS
             worker.health.peers_failed = max(0, counts.failed) / QUARTERS
         self._told_keys = set(peers)
@@ -358,8 +358,8 @@
             before, after = former.get(key, none), latest.get(key, none)
             worker.peer_online = max(0, worker.peer_online + after.online - before.online)
             worker.peer_batch = max(0, worker.peer_batch + after.batch - before.batch)
-            unread = worker.peer_unread + (after.unread - before.unread) * TOKENS_PER_BLOCK
-            worker.peer_unread = max(0, unread)
+            unread = worker.peer_prefill_tokens + (after.unread - before.unread) * TOKENS_PER_BLOCK
+            worker.peer_prefill_tokens = max(0, unread)
 
     def _peers_by_head(self) -> CountsByKey:
         """Return the sum over the other daemons; the head's word on the fleet includes this one."""
--- a/mountstand/serving/worker.py
+++ b/mountstand/serving/worker.py
@@ -83,8 +83,8 @@
     batch_in_flight: int = 0
     peer_online: int = 0
     peer_batch: int = 0
-    own_unread: int = 0
-    peer_unread: int = 0
+    own_prefill_tokens: int = 0
+    peer_prefill_tokens: int = 0
     """Tokens of prompts that this daemon and the others sent, and that are still to be read; at
     most, since parts that the worker keeps need no reading."""
 
@@ -149,7 +149,7 @@
     @property
     def unread(self) -> int:
         """Tokens of prompts that the worker has still to read, as far as is known."""
-        return self.own_unread + self.peer_unread
+        return self.own_prefill_tokens + self.peer_prefill_tokens
 
     def note_load(self, load: LoadReport, now_s: float) -> None:
         """Take a load report."""
@@ -281,9 +281,9 @@
     def __init__(self, worker: Worker, prompt: Prompt) -> None:
         self._worker = worker
         self._tokens = prompt.tokens
-        worker.own_unread += self._tokens
+        worker.own_prefill_tokens += self._tokens
 
     def end(self) -> None:
         """Note that the prompt was read, or that the request ended before; repeats do nothing."""
-        self._worker.own_unread -= self._tokens
+        self._worker.own_prefill_tokens -= self._tokens
         self._tokens = 0
--- a/tests/serving/test_slot_shares.py
+++ b/tests/serving/test_slot_shares.py
@@ -94,7 +94,7 @@
 
     def test_a_worker_with_much_to_read_is_passed_over(self) -> None:
         for worker_id in self.mine:
-            self.directory.workers[worker_id].own_unread = 100_000
+            self.directory.workers[worker_id].own_prefill_tokens = 100_000
         self.assertNotIn(self.choose(Prompt((PromptPart("p", 100),))), self.mine)
 
     def test_workers_that_left_or_came_are_dealt_anew(self) -> None:
