--- a/mountstand/serving/batch_room.py
+++ b/mountstand/serving/batch_room.py
@@ -163,7 +163,7 @@
             in_time = sum(waiter.urgency.in_time(now_s) for waiter in waiters)
             self.demand.own_by_service[service] = Waiting(in_time, len(waiters) - in_time)
 
-    def yield_to_online(self, worker: Worker, now_s: float) -> None:
+    def preempt_for_online(self, worker: Worker, now_s: float) -> None:
         """Take one item off a worker that is full, since an online request is sent there."""
         if worker.batch_in_flight and self._online.excess(worker, now_s) > 0:
             self._preempt_least_urgent(self._placements_at(worker))
@@ -179,7 +179,7 @@
             ]
         )
 
-    def vacate(self, worker: Worker) -> int:
+    def preempt_all(self, worker: Worker) -> int:
         """Take all of this daemon's items off a worker; returns how many there were."""
         placements = list(self._placements_at(worker))
         for _ in placements:
--- a/mountstand/serving/forwarder.py
+++ b/mountstand/serving/forwarder.py
@@ -243,7 +243,7 @@
         exchange.worker_id = worker.record.worker_id
         now_s = asyncio.get_running_loop().time()
         exchange.expected_load = worker.estimated_load(now_s)
-        self._batch_scheduler.yield_to_online(worker, now_s)
+        self._batch_scheduler.preempt_for_online(worker, now_s)
         exchange.reading = PromptReading(worker, exchange.call.prompt)
         connection: ClientConnection | None = None
         outcome: Outcome | None = None
--- a/mountstand/serving/reply_relay.py
+++ b/mountstand/serving/reply_relay.py
@@ -59,7 +59,7 @@
         if meaning.load is not None:
             exchange.load = meaning.load
             worker.note_load(meaning.load, now_s)
-            self._batch_scheduler.yield_to_online(worker, now_s)
+            self._batch_scheduler.preempt_for_online(worker, now_s)
         if meaning.kind is not ReplyKind.ANSWERED:
             exchange.runs -= 1
             return self._note_refusal(exchange, worker, meaning.kind, now_s)
--- a/mountstand/serving_zones.py
+++ b/mountstand/serving_zones.py
@@ -86,5 +86,5 @@
                 "workers_evacuated",
                 workers=len(left),
                 requests_left=sum(worker.online for worker in left),
-                items_moved=sum(self._batch_scheduler.vacate(worker) for worker in left),
+                items_moved=sum(self._batch_scheduler.preempt_all(worker) for worker in left),
             )
--- a/tests/serving/test_batch_room.py
+++ b/tests/serving/test_batch_room.py
@@ -63,9 +63,9 @@
             await self.granted(tasks)
             for number, task in enumerate(tasks):
                 task.result().preempt = lambda number=number: moved.append(number)
-            self.assertEqual(2, self.batch_scheduler.vacate(self.worker))
+            self.assertEqual(2, self.batch_scheduler.preempt_all(self.worker))
             self.assertEqual({0, 1}, set(moved))
-            self.assertEqual(0, self.batch_scheduler.vacate(self.worker), "each is told once")
+            self.assertEqual(0, self.batch_scheduler.preempt_all(self.worker), "each is told once")
 
         self.scenario(work)
 
@@ -176,10 +176,10 @@
             for name, task in zip(("soon", "later"), tasks, strict=True):
                 task.result().preempt = lambda name=name: taken.append(name)
             self.worker.note_load(LoadReport(10, 1, 10), 0.0)
-            self.batch_scheduler.yield_to_online(self.worker, 0.0)
+            self.batch_scheduler.preempt_for_online(self.worker, 0.0)
             self.assertEqual([], taken, "a short queue is no reason")
             self.worker.note_load(LoadReport(10, 3, 10), 0.0)
-            self.batch_scheduler.yield_to_online(self.worker, 0.0)
+            self.batch_scheduler.preempt_for_online(self.worker, 0.0)
             self.assertEqual(["later"], taken)
 
         self.scenario(work)
