--- a/mountstand/jobs/item_execution.py
+++ b/mountstand/jobs/item_execution.py
@@ -14,7 +14,7 @@
 from mountstand.serving.configuration import Configuration, Route, ShareChooser
 from mountstand.serving.connections import WorkerConnections
 from mountstand.serving.events import EventSplitter
-from mountstand.serving.worker import PromptReading, Worker
+from mountstand.serving.worker import PendingPrefill, Worker
 from mountstand.serving.worker_protocol import Call, ReplyKind, WorkerProtocol
 from mountstand.serving.workers import WorkerDirectory
 from mountstand.telemetry.decisions import DecisionLog, milliseconds
@@ -111,7 +111,7 @@
         self, progress: ItemProgress, route: Route, worker: Worker
     ) -> ItemResult | None:
         progress.sent_at_s = progress.first_event_at_s = None
-        reading = PromptReading(worker, progress.item.prompt)
+        reading = PendingPrefill(worker, progress.item.prompt)
         try:
             progress.connection = await self._context.connections.acquire(worker, repeatable=True)
             if progress.preempted:
@@ -137,7 +137,7 @@
         route: Route,
         worker: Worker,
         connection: ClientConnection,
-        reading: PromptReading,
+        reading: PendingPrefill,
     ) -> ItemResult | None:
         context = self._context
         loop = asyncio.get_running_loop()
--- a/mountstand/serving/exchange.py
+++ b/mountstand/serving/exchange.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 from mountstand.serving.configuration import Route
-from mountstand.serving.worker import LoadReport, PromptReading
+from mountstand.serving.worker import LoadReport, PendingPrefill
 from mountstand.serving.worker_protocol import Call
 from mountstand.transport.responder import Responder
 
@@ -66,7 +66,7 @@
     expected_load: float = 0.0
     """Requests at its worker as far as was known when it was sent there, this one included."""
 
-    reading: PromptReading | None = None
+    reading: PendingPrefill | None = None
     """The reading of its prompt by the worker of the present attempt."""
 
     @property
--- a/mountstand/serving/forwarder.py
+++ b/mountstand/serving/forwarder.py
@@ -26,7 +26,7 @@
 from mountstand.serving.exchange_log import ExchangeLog
 from mountstand.serving.online_queue import OnlineQueue, start_times
 from mountstand.serving.reply_relay import ReplyRelay
-from mountstand.serving.worker import PromptReading, Worker
+from mountstand.serving.worker import PendingPrefill, Worker
 from mountstand.serving.worker_protocol import Call, WorkerProtocol
 from mountstand.serving.workers import WorkerDirectory
 from mountstand.telemetry.decisions import DecisionLog
@@ -244,7 +244,7 @@
         now_s = asyncio.get_running_loop().time()
         exchange.expected_load = worker.estimated_load(now_s)
         self._batch_scheduler.preempt_for_online(worker, now_s)
-        exchange.reading = PromptReading(worker, exchange.call.prompt)
+        exchange.reading = PendingPrefill(worker, exchange.call.prompt)
         connection: ClientConnection | None = None
         outcome: Outcome | None = None
         try:
--- a/mountstand/serving/worker.py
+++ b/mountstand/serving/worker.py
@@ -273,7 +273,7 @@
     return min(MOST_SLOWDOWN, max(LEAST_SLOWDOWN, slowdown))
 
 
-class PromptReading:
+class PendingPrefill:
     """Counts a prompt's tokens at its worker as unread until the first event comes."""
 
     __slots__ = ("_tokens", "_worker")
--- a/mountstand/serving/worker_choice.py
+++ b/mountstand/serving/worker_choice.py
@@ -2,7 +2,7 @@
 
 With slots free, what a request waits for is reading: a worker reads prompts in the order of their
 arrival, so the first event comes after what is still to be read there and what it has to read of
-this prompt itself. Both are counted in tokens, as :class:`mountstand.serving.worker.PromptReading`
+this prompt itself. Both are counted in tokens, as :class:`mountstand.serving.worker.PendingPrefill`
 and the digests of the other daemons tell them, so that no reading speed needs to be known.
 """
 
--- a/tests/serving/test_routing.py
+++ b/tests/serving/test_routing.py
@@ -14,7 +14,7 @@
 from mountstand.serving.load_groups import Peer
 from mountstand.serving.load_sharing import LoadSharing
 from mountstand.serving.prompt import EMPTY_PROMPT
-from mountstand.serving.worker import LoadReport, PromptReading, WorkerRecord
+from mountstand.serving.worker import LoadReport, PendingPrefill, WorkerRecord
 from mountstand.serving.workers import WorkerDirectory
 from mountstand.wire.gossip import LoadDigest
 from tests.stand_ins.digest_link import RecordingLink
@@ -140,7 +140,7 @@
         """Free slots say nothing of the reading that a short prompt would wait for."""
         for name in ("w1", "w2"):
             self.directory.workers[name].in_flight = 1
-        reading = PromptReading(self.directory.workers["w0"], parse_prompt("aa:9000,bb:4000"))
+        reading = PendingPrefill(self.directory.workers["w0"], parse_prompt("aa:9000,bb:4000"))
         self.assertEqual({"w1", "w2"}, {self.choose("cc:100,dd:400") for _ in range(20)})
         reading.end()
         reading.end()
@@ -165,15 +165,15 @@
     def test_a_short_queue_of_prompts_is_tolerated_for_an_even_load(self) -> None:
         self.directory.workers["w1"].in_flight = 2
         self.directory.workers["w2"].in_flight = 2
-        PromptReading(self.directory.workers["w0"], parse_prompt("aa:100,bb:400"))
+        PendingPrefill(self.directory.workers["w0"], parse_prompt("aa:100,bb:400"))
         self.assertEqual("w0", self.choose("cc:100,dd:400"))
 
     def test_home_is_left_only_for_more_reading_than_it_saves(self) -> None:
         prompt = "aa:5000,bb:100"
         home = self.choose(prompt)
-        PromptReading(self.directory.workers[home], parse_prompt("cc:4900,dd:50"))
+        PendingPrefill(self.directory.workers[home], parse_prompt("cc:4900,dd:50"))
         self.assertEqual(home, self.choose(prompt))
-        PromptReading(self.directory.workers[home], parse_prompt("cc:4900,dd:50"))
+        PendingPrefill(self.directory.workers[home], parse_prompt("cc:4900,dd:50"))
         self.assertNotEqual(home, self.choose(prompt))
 
     def test_unreachable_worker_is_avoided_for_a_while(self) -> None:
