--- a/mountstand/serving/batch_room.py
+++ b/mountstand/serving/batch_room.py
@@ -235,7 +235,7 @@
         placement.preempt()
         return placement.worker
 
-    def forget(self, workers: set[str]) -> None:
+    def discard_workers_except(self, workers: set[str]) -> None:
         """Drop what is kept of workers that are gone."""
         for worker_id in [known for known in self._placements if known not in workers]:
             if not self._placements[worker_id]:
