--- a/mountstand/serving/batch_room.py
+++ b/mountstand/serving/batch_room.py
@@ -24,7 +24,7 @@
 
 def _free_slots(workers: list[Worker], now_s: float) -> float:
     """Return how many slots of ``workers`` batch work may take in all."""
-    usable = [worker for worker in workers if worker.takes_work(now_s)]
+    usable = [worker for worker in workers if worker.is_available(now_s)]
     free = sum(max(0.0, worker.slots() - worker.estimated_load(now_s)) for worker in usable)
     return max(0.0, free - usual_fluctuation(sum(worker.online for worker in usable)))
 
--- a/mountstand/serving/online_queue.py
+++ b/mountstand/serving/online_queue.py
@@ -266,7 +266,7 @@
 
     def assign_freed_slot(self, worker: Worker, now_s: float) -> None:
         """Give a slot that this daemon just freed at ``worker`` to a request that waits here."""
-        if not worker.takes_work(now_s):
+        if not worker.is_available(now_s):
             return
         waiting = self._waiting_for(worker, now_s)
         if not waiting:
@@ -313,7 +313,7 @@
         return sum(
             max(0.0, self._limit(worker, queue_s) - worker.estimated_load(now_s))
             for worker in self._directory.of_service(service)
-            if worker.takes_work(now_s)
+            if worker.is_available(now_s)
         )
 
     def excess(self, worker: Worker, now_s: float) -> float:
--- a/mountstand/serving/slot_lending.py
+++ b/mountstand/serving/slot_lending.py
@@ -119,7 +119,7 @@
     def _use_lent(self, sender: str, key: int, now_s: float) -> bool:
         """Use a lent slot, or give it back; returns whether its worker can be used at all."""
         worker = self._directory.by_key.get(key)
-        if worker is None or not worker.takes_work(now_s):
+        if worker is None or not worker.is_available(now_s):
             return False
         if not self.assign_borrowed_slot(worker):
             self._link.send(SlotReturn(key), (sender,))
@@ -183,7 +183,7 @@
         best_by_owner: dict[str, _Offer] = {}
         owners_by_worker = self._directory.chooser.owners_by_service.get(service, {})
         for worker in self._directory.of_service(service):
-            if not worker.takes_work(now_s):
+            if not worker.is_available(now_s):
                 continue
             free = worker.slots() - worker.estimated_load(now_s) + worker.peer_batch
             if free < 1:
--- a/mountstand/serving/worker.py
+++ b/mountstand/serving/worker.py
@@ -239,7 +239,7 @@
         """Return how many requests run at once."""
         return max(1, self.record.slots)
 
-    def takes_work(self, now_s: float) -> bool:
+    def is_available(self, now_s: float) -> bool:
         """Return whether one more request may go to the worker as things usually are.
 
         It stays, is reachable as far as is known, is not ejected, and bears it if it is cold.
--- a/mountstand/serving/workers.py
+++ b/mountstand/serving/workers.py
@@ -230,7 +230,7 @@
             candidates = [
                 worker
                 for worker in self._drawn(service)
-                if worker.takes_work(now_s)
+                if worker.is_available(now_s)
                 and worker.record.worker_id not in tried
                 and allows(worker)
             ]
@@ -243,7 +243,7 @@
 
         def has_room(worker: Worker) -> bool:
             filled = worker.estimated_load(now_s) + 1
-            return worker.takes_work(now_s) and filled <= worker.slots() * fill
+            return worker.is_available(now_s) and filled <= worker.slots() * fill
 
         candidates = [worker for worker in self._drawn(service) if has_room(worker)]
         if not candidates:
@@ -256,7 +256,7 @@
         """Choose a worker of which one of this daemon's own slots is free, if there is any."""
         own_slots = self.chooser.own_slots
         own = [w for w in self.of_service(service) if w.record.worker_id in own_slots]
-        usable = [worker for worker in own if worker.takes_work(now_s)]
+        usable = [worker for worker in own if worker.is_available(now_s)]
         return self.chooser.choose_own(usable, sys.maxsize, now_s)
 
     def _drawn(self, service: str) -> list[Worker]:
--- a/tests/serving/test_routing.py
+++ b/tests/serving/test_routing.py
@@ -211,7 +211,7 @@
         self.assertIs(before, self.directory.workers["w0"], "the same process")
         self.assertTrue(self.directory.put(worker_record(0, started_at_ms=200, version=4), 5.2))
         after = self.directory.workers["w0"]
-        self.assertTrue(after.takes_work(5.2))
+        self.assertTrue(after.is_available(5.2))
         self.assertEqual(0.0, after.estimated_load(5.2))
         self.assertNotEqual(before.key, after.key, "peers' counts of the former do not apply")
         self.directory.put(worker_record(0, started_at_ms=0, version=5), 5.3)
