--- a/mountstand/jobs/item_execution.py
+++ b/mountstand/jobs/item_execution.py
@@ -179,7 +179,7 @@
         worker.health.own.add(loop.time(), failed=False)
         context.quarantine.note_served(call)
         if not progress.restored:
-            context.batch_scheduler.durations.note(worker.record.service, progress.ran_s)
+            context.batch_scheduler.durations.observe(worker.record.service, progress.ran_s)
         self._log(
             "item_completed",
             item=progress.item.item_id,
--- a/mountstand/serving/forwarder.py
+++ b/mountstand/serving/forwarder.py
@@ -201,7 +201,7 @@
         """Learn how long requests usually take from one that was served."""
         if exchange.responder.status < WORKER_FAILED:
             duration_s = asyncio.get_running_loop().time() - exchange.sent_at_s
-            self._directory.chooser.durations.note(worker.record.service, duration_s)
+            self._directory.chooser.durations.observe(worker.record.service, duration_s)
 
     def _note_outcome(self, exchange: Exchange, worker: Worker, outcome: Outcome) -> None:
         """Count what the attempt says about the worker."""
--- a/mountstand/serving/online_queue.py
+++ b/mountstand/serving/online_queue.py
@@ -21,7 +21,7 @@
 from mountstand.serving.prompt import Prompt
 from mountstand.serving.slot_demand import SlotDemand, Waiting
 from mountstand.serving.slot_lending import SlotLending
-from mountstand.serving.spread import UsualDurations, round_by_chance
+from mountstand.serving.spread import DurationAverages, round_by_chance
 from mountstand.serving.worker import Worker
 from mountstand.serving.worker_protocol import Call
 from mountstand.serving.workers import WorkerDirectory
@@ -118,7 +118,7 @@
         self._directory = directory
         self._source = source
         self.demand = SlotDemand()
-        self.batch_durations = UsualDurations()
+        self.batch_durations = DurationAverages()
         self.preempt_batch_item: Callable[[str], Worker | None] = lambda service: None
         self.lending: SlotLending | None = None
         self._borrowing: dict[str, set[asyncio.Task[None]]] = {}
--- a/mountstand/serving/spread.py
+++ b/mountstand/serving/spread.py
@@ -47,7 +47,7 @@
     return whole + (source.random() < value - whole)
 
 
-class UsualDurations:
+class DurationAverages:
     """How long requests usually take, in seconds by service."""
 
     __slots__ = ("_usual_s_by_service",)
@@ -55,7 +55,7 @@
     def __init__(self) -> None:
         self._usual_s_by_service: dict[str, float] = {}
 
-    def note(self, service: str, duration_s: float) -> None:
+    def observe(self, service: str, duration_s: float) -> None:
         """Take note of how long a request took."""
         usual_s = self._usual_s_by_service.get(service, duration_s)
         self._usual_s_by_service[service] = usual_s + DURATION_WEIGHT * (duration_s - usual_s)
--- a/mountstand/serving/worker_choice.py
+++ b/mountstand/serving/worker_choice.py
@@ -14,7 +14,7 @@
 from mountstand.hashing import rendezvous_weight
 from mountstand.serving.prompt import Prompt
 from mountstand.serving.slot_shares import SlotsByOwner
-from mountstand.serving.spread import UsualDurations, level_after, weights_below
+from mountstand.serving.spread import DurationAverages, level_after, weights_below
 from mountstand.serving.worker import Worker
 
 SAMPLE_SIZE = 4
@@ -52,7 +52,7 @@
         self._zone = zone
         self._source = source
         self.picture_age_s = 0.0
-        self.durations = UsualDurations()
+        self.durations = DurationAverages()
         self.own_slots: dict[str, int] = {}
         self.owners_by_service: dict[str, dict[str, SlotsByOwner]] = {}
 
--- a/tests/serving/test_batch_room.py
+++ b/tests/serving/test_batch_room.py
@@ -45,8 +45,8 @@
 
     async def let_online_requests_wait(self) -> None:
         """Make 1.5 requests too few to give way to: ten slots end that many in 0.15 s."""
-        self.directory.chooser.durations.note("llm", 1.0)
-        self.batch_scheduler.durations.note("llm", 1.0)
+        self.directory.chooser.durations.observe("llm", 1.0)
+        self.batch_scheduler.durations.observe("llm", 1.0)
         times = StartTimes(in_time_s=1.0, latest_s=1.0, queue_s=0.15)
         self.assertIsNotNone(await self.queue.acquire("llm", EMPTY_PROMPT, times))
         self.worker.in_flight -= 1
--- a/tests/serving/test_forwarder.py
+++ b/tests/serving/test_forwarder.py
@@ -355,7 +355,7 @@
 
         async def scenario() -> list[int]:
             async with ForwarderHarness(used, script) as front:
-                front.fleet.directory.chooser.durations.note("llm", self.USUAL_S)
+                front.fleet.directory.chooser.durations.observe("llm", self.USUAL_S)
                 await front.send_request()
                 worker = front.fleet.directory.workers["w0"]
                 counted = [worker.in_flight]
@@ -381,7 +381,7 @@
         async def scenario() -> float:
             async with ForwarderHarness(ONCE, (BAD,)) as front:
                 durations = front.fleet.directory.chooser.durations
-                durations.note("llm", self.USUAL_S)
+                durations.observe("llm", self.USUAL_S)
                 await front.send_request()
                 return durations.usual_s("llm")
 
@@ -391,7 +391,7 @@
         async def scenario() -> int:
             good = stream(4, gap_s=0.1)
             async with ForwarderHarness(PLAIN_STREAM, (BAD,), (good,), (good,), (good,)) as front:
-                front.fleet.directory.chooser.durations.note("llm", 0.4)
+                front.fleet.directory.chooser.durations.observe("llm", 0.4)
                 asked = []
                 for number in range(24):
                     asked.append(asyncio.create_task(front.send_request(f"r{number}")))
--- a/tests/serving/test_online_queue.py
+++ b/tests/serving/test_online_queue.py
@@ -12,7 +12,7 @@
 from mountstand.serving.online_queue import StartTimes, start_times
 from mountstand.serving.prompt import EMPTY_PROMPT
 from mountstand.serving.slot_demand import Waiting
-from mountstand.serving.spread import UsualDurations
+from mountstand.serving.spread import DurationAverages
 from mountstand.serving.worker import Worker
 from tests.serving.test_routing import worker_record
 from tests.stand_ins.harness import Fleet
@@ -99,11 +99,11 @@
         """Four slots end a request every 0.2 s; with a quarter of the objective none may wait."""
 
         async def work() -> None:
-            self.directory.chooser.durations.note("llm", USUAL_S)
+            self.directory.chooser.durations.observe("llm", USUAL_S)
             self.worker.in_flight = SLOTS
             self.assertFalse((await self.ask()).done())
-            self.directory.chooser.durations = UsualDurations()
-            self.directory.chooser.durations.note("llm", USUAL_S / 4)
+            self.directory.chooser.durations = DurationAverages()
+            self.directory.chooser.durations.observe("llm", USUAL_S / 4)
             self.queue.tick(self.loop.time())
             self.assertEqual(SLOTS + 1, self.worker.in_flight, "shorter requests: one may wait")
 
@@ -278,7 +278,7 @@
 
         async def work() -> None:
             source = random.Random(5)
-            self.directory.chooser.durations.note("llm", USUAL_S)
+            self.directory.chooser.durations.observe("llm", USUAL_S)
             gap_s = USUAL_S / (6 * SLOTS) / 1.2
             tasks = [asyncio.create_task(request(source)) for _ in range(6 * SLOTS)]
             for _ in range(90):
--- a/tests/serving/test_slot_lending.py
+++ b/tests/serving/test_slot_lending.py
@@ -108,7 +108,7 @@
             self.loop = asyncio.get_running_loop()
             for daemon in (self.a, self.b):
                 # Requests take long, so that slots are tight as soon as some are taken.
-                daemon.directory.chooser.durations.note("llm", 1.0)
+                daemon.directory.chooser.durations.observe("llm", 1.0)
                 daemon.directory.chooser.picture_age_s = 0.5
             await work()
 
--- a/tests/serving/test_spread.py
+++ b/tests/serving/test_spread.py
@@ -11,7 +11,7 @@
 from mountstand.serving.load_sharing import LoadSharing
 from mountstand.serving.prompt import EMPTY_PROMPT
 from mountstand.serving.slot_demand import SlotDemand, Waiting, Work, service_key
-from mountstand.serving.spread import UsualDurations, level_after, round_by_chance, weights_below
+from mountstand.serving.spread import DurationAverages, level_after, round_by_chance, weights_below
 from mountstand.serving.workers import WorkerDirectory
 from tests.serving.test_routing import worker_record
 from tests.stand_ins.digest_link import RecordingLink
@@ -40,9 +40,9 @@
         self.assertTrue(2.2 < sum(rounded) / 4000 < 2.3)
 
     def test_arrivals_follow_from_what_runs_and_how_long_it_takes(self) -> None:
-        durations = UsualDurations()
+        durations = DurationAverages()
         self.assertEqual(0.0, durations.arrivals("llm", 90, 0.3), "nothing is known yet")
-        durations.note("llm", 0.9)
+        durations.observe("llm", 0.9)
         self.assertAlmostEqual(30.0, durations.arrivals("llm", 90, 0.3))
 
 
@@ -55,7 +55,7 @@
     def directory(self, seed: int) -> WorkerDirectory:
         directory = WorkerDirectory("zone-a", random.Random(seed))
         directory.chooser.picture_age_s = 0.3
-        directory.chooser.durations.note("llm", 0.9)
+        directory.chooser.durations.observe("llm", 0.9)
         for i in range(self.WORKERS):
             directory.put(worker_record(i, slots=9), 0.0)
             directory.workers[f"w{i}"].peer_online = 5 + i % 6
