--- a/mountstand/jobs/item_execution.py
+++ b/mountstand/jobs/item_execution.py
@@ -142,7 +142,7 @@
         context = self._context
         loop = asyncio.get_running_loop()
         call = self._call(progress)
-        if not worker.note_sent(loop.time()):
+        if not worker.admit_send(loop.time()):
             self._log_attempt(progress, worker, "worker cold")
             context.metrics.send_withheld()
             return None
--- a/mountstand/serving/forwarder.py
+++ b/mountstand/serving/forwarder.py
@@ -287,7 +287,7 @@
         self, exchange: Exchange, worker: Worker, connection: ClientConnection
     ) -> Outcome:
         now_s = asyncio.get_running_loop().time()
-        if not worker.note_sent(now_s):
+        if not worker.admit_send(now_s):
             exchange.cause = "worker cold"
             self._metrics.send_withheld()
             return Outcome.NOT_SENT
--- a/mountstand/serving/worker.py
+++ b/mountstand/serving/worker.py
@@ -254,7 +254,7 @@
         """Return whether one more request may be sent, unless the worker is cold and had enough."""
         return self.cold is None or self.cold.allows(now_s)
 
-    def note_sent(self, now_s: float) -> bool:
+    def admit_send(self, now_s: float) -> bool:
         """Count a request that is sent now; returns whether it may be."""
         return self.cold is None or self.cold.take(now_s)
 
--- a/tests/serving/test_evacuation.py
+++ b/tests/serving/test_evacuation.py
@@ -114,9 +114,9 @@
         self.directory.evacuate({"b"}, 10.0)
         self.directory.evacuate(set(), 20.0)
         worker = self.directory.workers["w1"]
-        self.assertEqual([True, True, False], [worker.note_sent(20.0) for _ in range(3)])
-        self.assertTrue(worker.note_sent(23.1), "warm again")
-        self.assertTrue(all(self.directory.workers["w0"].note_sent(20.0) for _ in range(9)))
+        self.assertEqual([True, True, False], [worker.admit_send(20.0) for _ in range(3)])
+        self.assertTrue(worker.admit_send(23.1), "warm again")
+        self.assertTrue(all(self.directory.workers["w0"].admit_send(20.0) for _ in range(9)))
 
 
 class Daemons(TestCase):
