--- a/mountstand/jobs/runner.py
+++ b/mountstand/jobs/runner.py
@@ -317,8 +317,8 @@
         age_s = (self._context.store_now_ms() - self.head.accepted_ms) / 1000
         left_s = route.completion_target_s - age_s
         now_s = asyncio.get_running_loop().time()
-        usual_s = self._context.batch_scheduler.durations.usual_s(service)
-        run_s = max(0.0, usual_s - progress.ran_s)
+        average_s = self._context.batch_scheduler.durations.average_s(service)
+        run_s = max(0.0, average_s - progress.ran_s)
         return Urgency(now_s + left_s, run_s, self._priority(route))
 
     def _priority(self, route: Route) -> int:
--- a/mountstand/serving/forwarder.py
+++ b/mountstand/serving/forwarder.py
@@ -272,8 +272,8 @@
         loop = asyncio.get_running_loop()
         left_s = 0.0
         if outcome is not None and worker_failed(exchange, outcome):
-            usual_s = self._directory.chooser.durations.usual_s(worker.record.service)
-            left_s = exchange.sent_at_s + usual_s - loop.time()
+            average_s = self._directory.chooser.durations.average_s(worker.record.service)
+            left_s = exchange.sent_at_s + average_s - loop.time()
         if left_s > 0:
             loop.call_later(left_s, self._free_slot, worker)
         else:
@@ -329,8 +329,8 @@
             return
         if exchange.runs == 0:
             full = exchange.refusals > 0
-            usual_s = RETRY_FULL_S if full else RETRY_AFTER_UNAVAILABLE_S
-            refuse(responder, exchange.blocked_for_s or usual_s)
+            average_s = RETRY_FULL_S if full else RETRY_AFTER_UNAVAILABLE_S
+            refuse(responder, exchange.blocked_for_s or average_s)
             return
         responder.send(504 if exchange.cause == "deadline" else 502)
 
--- a/mountstand/serving/online_queue.py
+++ b/mountstand/serving/online_queue.py
@@ -139,9 +139,9 @@
         """
         worker = await self._acquire(service, prompt, times, call)
         if worker is not None and call is not None and call.tenant:
-            usual_s = self._directory.chooser.durations.usual_s(worker.record.service)
+            average_s = self._directory.chooser.durations.average_s(worker.record.service)
             now_s = asyncio.get_running_loop().time()
-            slot_s = usual_s or UNKNOWN_SLOT_S
+            slot_s = average_s or UNKNOWN_SLOT_S
             self._shares(service).note_begun(call.tenant, call.tenant_weight, slot_s, now_s)
         return worker
 
@@ -329,8 +329,8 @@
         """Return how many requests end per second at a full worker, 0 where nothing is known."""
         service = worker.record.service
         batch = min(worker.batch, worker.slots())
-        online_s = self._directory.chooser.durations.usual_s(service)
-        batch_s = self.batch_durations.usual_s(service)
+        online_s = self._directory.chooser.durations.average_s(service)
+        batch_s = self.batch_durations.average_s(service)
         ends_per_s = (worker.slots() - batch) / online_s if online_s else 0.0
         return ends_per_s + (batch / batch_s if batch_s else 0.0)
 
--- a/mountstand/serving/spread.py
+++ b/mountstand/serving/spread.py
@@ -57,14 +57,14 @@
 
     def observe(self, service: str, duration_s: float) -> None:
         """Take note of how long a request took."""
-        usual_s = self._usual_s_by_service.get(service, duration_s)
-        self._usual_s_by_service[service] = usual_s + DURATION_WEIGHT * (duration_s - usual_s)
+        average_s = self._usual_s_by_service.get(service, duration_s)
+        self._usual_s_by_service[service] = average_s + DURATION_WEIGHT * (duration_s - average_s)
 
-    def usual_s(self, service: str) -> float:
+    def average_s(self, service: str) -> float:
         """Return how long a request usually takes, or 0 where nothing is known."""
         return self._usual_s_by_service.get(service, 0.0)
 
     def arrivals(self, service: str, in_flight: int, within_s: float) -> float:
         """Return how many requests began within a time, given how many run (Little's law)."""
-        usual_s = self.usual_s(service)
-        return in_flight * within_s / max(usual_s, within_s) if usual_s else 0.0
+        average_s = self.average_s(service)
+        return in_flight * within_s / max(average_s, within_s) if average_s else 0.0
--- a/tests/serving/test_forwarder.py
+++ b/tests/serving/test_forwarder.py
@@ -383,7 +383,7 @@
                 durations = front.fleet.directory.chooser.durations
                 durations.observe("llm", self.USUAL_S)
                 await front.send_request()
-                return durations.usual_s("llm")
+                return durations.average_s("llm")
 
         self.assertEqual(self.USUAL_S, run(scenario()))
 
