--- a/mountstand/serving/slot_lending.py
+++ b/mountstand/serving/slot_lending.py
@@ -131,7 +131,7 @@
         while unserved:
             question = unserved.popleft()
             if question.until_s > now_s:
-                worker.note_lent(self._held_until_s(now_s))
+                worker.note_slot_granted(self._held_until_s(now_s))
                 self._link.send(SlotGrant(question.number, worker.key), (question.sender,))
                 return
 
@@ -170,7 +170,7 @@
         if worker is None:
             worker = self.preempt_batch_item(service)
         if worker is not None:
-            worker.note_lent(self._held_until_s(now_s))
+            worker.note_slot_granted(self._held_until_s(now_s))
         return worker
 
     def _service(self, key: int) -> str | None:
--- a/mountstand/serving/worker.py
+++ b/mountstand/serving/worker.py
@@ -216,7 +216,7 @@
         """Send no new work to the worker until a time, at least."""
         self.avoid_until_s = max(self.avoid_until_s, until_s)
 
-    def note_lent(self, until_s: float) -> None:
+    def note_slot_granted(self, until_s: float) -> None:
         """Count a slot as taken that another daemon is about to use."""
         self.lent_until_s.append(until_s)
 
