--- a/mountstand/serving/worker_choice.py
+++ b/mountstand/serving/worker_choice.py
@@ -90,7 +90,7 @@
         if own is not None:
             return own
         spread = self._sample(candidates, SPREAD_SIZE)
-        unseen = self.durations.arrivals(
+        unseen = self.durations.expected_arrivals(
             spread[0].record.service,
             sum(worker.peer_online for worker in spread),
             self.picture_age_s,
