--- a/mountstand/serving/slot_lending.py
+++ b/mountstand/serving/slot_lending.py
@@ -108,7 +108,7 @@
         elif isinstance(message, SlotReturn):
             worker = self._directory.by_key.get(message.worker)
             if worker is not None:
-                worker.note_returned()
+                worker.note_slot_returned()
                 self.offer(worker, now_s)
         else:
             lent = message.worker != NO_WORKER and self._use_lent(sender, message.worker, now_s)
--- a/mountstand/serving/worker.py
+++ b/mountstand/serving/worker.py
@@ -220,7 +220,7 @@
         """Count a slot as taken that another daemon is about to use."""
         self.lent_until_s.append(until_s)
 
-    def note_returned(self) -> None:
+    def note_slot_returned(self) -> None:
         """Count a lent slot as taken no more."""
         if self.lent_until_s:
             self.lent_until_s.pop()
