--- a/mountstand/serving/batch_room.py
+++ b/mountstand/serving/batch_room.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, replace
 
 from mountstand.serving.online_queue import OnlineQueue
-from mountstand.serving.slot_demand import SlotDemand, Waiting
+from mountstand.serving.slot_demand import SlotDemand, WaitingCounts
 from mountstand.serving.spread import round_by_chance
 from mountstand.serving.worker import Worker
 from mountstand.serving.worker_choice import FULL
@@ -161,7 +161,7 @@
             waiters[:] = [waiter for waiter in waiters if not waiter.granted.done()]
             waiters.sort(key=lambda waiter: waiter.urgency.rank(now_s))
             in_time = sum(waiter.urgency.in_time(now_s) for waiter in waiters)
-            self.demand.own_by_service[service] = Waiting(in_time, len(waiters) - in_time)
+            self.demand.own_by_service[service] = WaitingCounts(in_time, len(waiters) - in_time)
 
     def preempt_for_online(self, worker: Worker, now_s: float) -> None:
         """Take one item off a worker that is full, since an online request is sent there."""
--- a/mountstand/serving/load_sharing.py
+++ b/mountstand/serving/load_sharing.py
@@ -24,7 +24,7 @@
     total_of,
 )
 from mountstand.serving.load_groups import LoadGroup, Peer, group_of, outside, serving_members
-from mountstand.serving.slot_demand import SlotDemand, Waiting, Work, service_key
+from mountstand.serving.slot_demand import SlotDemand, WaitingCounts, Work, service_key
 from mountstand.serving.slot_shares import deal_slots
 from mountstand.serving.worker import Worker
 from mountstand.serving.workers import WorkerDirectory
@@ -340,7 +340,7 @@
         for work, demand in self._demand_by_work.items():
             for service in self._directory.pools:
                 counts = peers.get(service_key(service, work), none)
-                waiting = Waiting(max(0, counts.waiting), max(0, counts.late))
+                waiting = WaitingCounts(max(0, counts.waiting), max(0, counts.late))
                 demand.peers_by_service[service] = waiting
 
     def _take_over_change(self, former: CountsByKey, latest: CountsByKey) -> None:
--- a/mountstand/serving/online_queue.py
+++ b/mountstand/serving/online_queue.py
@@ -19,7 +19,7 @@
 
 from mountstand.serving.fair_shares import FairShares
 from mountstand.serving.prompt import Prompt
-from mountstand.serving.slot_demand import SlotDemand, Waiting
+from mountstand.serving.slot_demand import SlotDemand, WaitingCounts
 from mountstand.serving.slot_lending import SlotLending
 from mountstand.serving.spread import DurationAverages, round_by_chance
 from mountstand.serving.worker import Worker
@@ -367,7 +367,7 @@
         over = self._over(service, now_s) if waiting else frozenset()
         waiting.sort(key=lambda waiter: waiter.rank(now_s, over))
         late = sum(waiter.times.is_late(now_s) for waiter in waiting)
-        self.demand.own_by_service[service] = Waiting(len(waiting) - late, late)
+        self.demand.own_by_service[service] = WaitingCounts(len(waiting) - late, late)
 
 
 def _new_future() -> asyncio.Future[Worker | None]:
--- a/mountstand/serving/slot_demand.py
+++ b/mountstand/serving/slot_demand.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
+class WaitingCounts:
     """What waits: that which can still be in time, and the late."""
 
     in_time: int = 0
@@ -32,7 +32,7 @@
         return self.in_time + self.late
 
 
-NONE_WAITING = Waiting()
+NONE_WAITING = WaitingCounts()
 
 
 class SlotDemand:
@@ -41,14 +41,14 @@
     __slots__ = ("own_by_service", "peers_by_service")
 
     def __init__(self) -> None:
-        self.own_by_service: dict[str, Waiting] = {}
-        self.peers_by_service: dict[str, Waiting] = {}
+        self.own_by_service: dict[str, WaitingCounts] = {}
+        self.peers_by_service: dict[str, WaitingCounts] = {}
 
-    def own(self, service: str) -> Waiting:
+    def own(self, service: str) -> WaitingCounts:
         """Return what waits at this daemon."""
         return self.own_by_service.get(service, NONE_WAITING)
 
-    def peers(self, service: str) -> Waiting:
+    def peers(self, service: str) -> WaitingCounts:
         """Return what waits at the other daemons, as their digests told."""
         return self.peers_by_service.get(service, NONE_WAITING)
 
--- a/tests/jobs/test_jobs.py
+++ b/tests/jobs/test_jobs.py
@@ -18,7 +18,7 @@
 from mountstand.jobs.service import JobService
 from mountstand.platform.ingress import parse_items
 from mountstand.serving.configuration import Configuration, RequestKind
-from mountstand.serving.slot_demand import Waiting
+from mountstand.serving.slot_demand import WaitingCounts
 from mountstand.store.memory_rows import MemoryRowStore
 from mountstand.store.rows import RowKey, StoreError, StoreRefused, Transaction
 from mountstand.store.watch import TableWatcher
@@ -181,7 +181,7 @@
                 daemon.route = bounded
                 daemon.configuration = configuration(bounded)
             held = self.fleet.queue.demand.peers_by_service
-            held["llm"] = Waiting(1)
+            held["llm"] = WaitingCounts(1)
             accepted = await first.submit(submission(tokens=200))
             self.assertEqual(SubmitOutcome.ACCEPTED, accepted)
             more = submission("job2", tokens=200)
--- a/tests/model/test_online_queue.py
+++ b/tests/model/test_online_queue.py
@@ -10,7 +10,7 @@
 
 from mountstand.serving.online_queue import start_times
 from mountstand.serving.prompt import EMPTY_PROMPT
-from mountstand.serving.slot_demand import Waiting
+from mountstand.serving.slot_demand import WaitingCounts
 from mountstand.serving.worker import LoadReport, Worker
 from tests.serving.test_routing import worker_record
 from tests.stand_ins.harness import Fleet
@@ -68,7 +68,7 @@
         elif name == "pass":
             await asyncio.sleep(value)
         elif name == "peers":
-            self.queue.demand.peers_by_service["llm"] = Waiting(int(value))
+            self.queue.demand.peers_by_service["llm"] = WaitingCounts(int(value))
         elif name == "report":
             workers[0].note_load(LoadReport(min(SLOTS, int(value)), 0, SLOTS), now_s)
         elif name == "worker leaves":
--- a/tests/serving/test_batch_room.py
+++ b/tests/serving/test_batch_room.py
@@ -10,7 +10,7 @@
 from mountstand.serving.batch_room import BatchScheduler, Placement, Urgency
 from mountstand.serving.online_queue import StartTimes
 from mountstand.serving.prompt import EMPTY_PROMPT
-from mountstand.serving.slot_demand import Waiting
+from mountstand.serving.slot_demand import WaitingCounts
 from mountstand.serving.worker import LoadReport, Worker
 from tests.serving.test_routing import worker_record
 from tests.stand_ins.harness import Fleet, run
@@ -94,7 +94,7 @@
                 self.directory.put(worker_record(number, slots=10), 0.0)
             self.directory.workers["w1"].note_connect_failed(0.0)
             self.directory.put(worker_record(2, slots=10, draining=True, version=2), 0.0)
-            self.batch_scheduler.demand.peers_by_service["llm"] = Waiting(9)
+            self.batch_scheduler.demand.peers_by_service["llm"] = WaitingCounts(9)
             tasks = await self.wait(*[SOON] * 9)
             self.assertTrue(4 <= sum(await self.granted(tasks)) <= 5)
 
@@ -112,9 +112,9 @@
     def test_late_items_leave_the_slots_to_items_of_peers_that_can_be_in_time(self) -> None:
         async def work() -> None:
             tasks = await self.wait(*[LATE] * 9)
-            self.batch_scheduler.demand.peers_by_service["llm"] = Waiting(in_time=6, late=9)
+            self.batch_scheduler.demand.peers_by_service["llm"] = WaitingCounts(in_time=6, late=9)
             self.assertTrue(1 <= sum(await self.granted(tasks)) <= 2)
-            self.batch_scheduler.demand.peers_by_service["llm"] = Waiting(in_time=9)
+            self.batch_scheduler.demand.peers_by_service["llm"] = WaitingCounts(in_time=9)
             self.assertEqual(0, sum(task.done() for task in await self.wait(*[LATE] * 9)))
 
         self.scenario(work)
@@ -122,7 +122,7 @@
     def test_a_daemon_takes_the_part_of_the_free_slots_that_its_items_are_of_all(self) -> None:
         async def work() -> None:
             tasks = await self.wait(*[SOON] * 9)
-            self.batch_scheduler.demand.peers_by_service["llm"] = Waiting(21)
+            self.batch_scheduler.demand.peers_by_service["llm"] = WaitingCounts(21)
             self.assertEqual(3, sum(await self.granted(tasks)))
 
         self.scenario(work)
@@ -152,7 +152,7 @@
         async def work() -> None:
             nonlocal granted
             tasks = await self.wait(SOON)
-            self.batch_scheduler.demand.peers_by_service["llm"] = Waiting(89)
+            self.batch_scheduler.demand.peers_by_service["llm"] = WaitingCounts(89)
             granted += sum(await self.granted(tasks))
 
         for seed in range(90):
--- a/tests/serving/test_online_queue.py
+++ b/tests/serving/test_online_queue.py
@@ -11,7 +11,7 @@
 from mountstand.serving.batch_room import Placement, Urgency
 from mountstand.serving.online_queue import StartTimes, start_times
 from mountstand.serving.prompt import EMPTY_PROMPT
-from mountstand.serving.slot_demand import Waiting
+from mountstand.serving.slot_demand import WaitingCounts
 from mountstand.serving.spread import DurationAverages
 from mountstand.serving.worker import Worker
 from tests.serving.test_routing import worker_record
@@ -192,7 +192,7 @@
         async def work() -> None:
             self.worker.in_flight = SLOTS
             tasks = [await self.ask() for _ in range(4)]
-            self.queue.demand.peers_by_service["llm"] = Waiting(4)
+            self.queue.demand.peers_by_service["llm"] = WaitingCounts(4)
             self.worker.in_flight = 0
             self.queue.tick(self.loop.time())
             await settle()
@@ -218,7 +218,7 @@
             placement = await self.place_item()
             placement.preempt = lambda: taken.append(1)
             self.worker.peer_online = SLOTS - 1
-            self.queue.demand.peers_by_service["llm"] = Waiting(1)
+            self.queue.demand.peers_by_service["llm"] = WaitingCounts(1)
             self.batch_scheduler.tick(self.loop.time())
             self.assertEqual([1], taken)
 
@@ -230,9 +230,9 @@
                 self.batch_scheduler.acquire("llm", Urgency(self.loop.time() + 100))
             )
             await settle()
-            self.queue.demand.peers_by_service["llm"] = Waiting(1)
+            self.queue.demand.peers_by_service["llm"] = WaitingCounts(1)
             self.batch_scheduler.tick(self.loop.time())
-            self.queue.demand.peers_by_service["llm"] = Waiting()
+            self.queue.demand.peers_by_service["llm"] = WaitingCounts()
             self.assertFalse(task.done())
             self.batch_scheduler.tick(self.loop.time())
             await settle()
--- a/tests/serving/test_spread.py
+++ b/tests/serving/test_spread.py
@@ -10,7 +10,7 @@
 from mountstand.serving.load_groups import Peer
 from mountstand.serving.load_sharing import LoadSharing
 from mountstand.serving.prompt import EMPTY_PROMPT
-from mountstand.serving.slot_demand import SlotDemand, Waiting, Work, service_key
+from mountstand.serving.slot_demand import SlotDemand, WaitingCounts, Work, service_key
 from mountstand.serving.spread import DurationAverages, level_after, round_by_chance, weights_below
 from mountstand.serving.workers import WorkerDirectory
 from tests.serving.test_routing import worker_record
@@ -99,24 +99,24 @@
         directory.put(worker_record(0), 0.0)
         demand, link = SlotDemand(), RecordingLink(peer)
         sharing = LoadSharing(directory, own, link, {Work.BATCH: demand})
-        demand.own_by_service["llm"] = Waiting(4, 2)
+        demand.own_by_service["llm"] = WaitingCounts(4, 2)
         sharing.tick(0.0)
         digest = link.digests[-1]
         position = digest.keys.index(service_key("llm", Work.BATCH))
         self.assertEqual((4, 2), (digest.waiting[position], digest.late[position]))
         sharing.handle("peer", digest, 0.0)
-        self.assertEqual(Waiting(4, 2), demand.peers_by_service["llm"])
+        self.assertEqual(WaitingCounts(4, 2), demand.peers_by_service["llm"])
         sharing.tick(100.0)
-        self.assertEqual(Waiting(), demand.peers_by_service["llm"], "a silent peer has none")
+        self.assertEqual(WaitingCounts(), demand.peers_by_service["llm"], "a silent peer has none")
 
     CASES = (
-        ("nobody waits", Waiting(), Waiting(), 10.0, 0.0),
-        ("alone", Waiting(20), Waiting(), 10.0, 10.0),
-        ("no more than wait", Waiting(3), Waiting(), 10.0, 3.0),
-        ("by the items that can be in time", Waiting(20), Waiting(60), 10.0, 2.5),
-        ("late ones get what is left", Waiting(0, 4), Waiting(6, 4), 10.0, 2.0),
-        ("late ones get nothing", Waiting(0, 4), Waiting(12), 10.0, 0.0),
-        ("first those in time, then late ones", Waiting(2, 9), Waiting(), 10.0, 10.0),
+        ("nobody waits", WaitingCounts(), WaitingCounts(), 10.0, 0.0),
+        ("alone", WaitingCounts(20), WaitingCounts(), 10.0, 10.0),
+        ("no more than wait", WaitingCounts(3), WaitingCounts(), 10.0, 3.0),
+        ("by the items that can be in time", WaitingCounts(20), WaitingCounts(60), 10.0, 2.5),
+        ("late ones get what is left", WaitingCounts(0, 4), WaitingCounts(6, 4), 10.0, 2.0),
+        ("late ones get nothing", WaitingCounts(0, 4), WaitingCounts(12), 10.0, 0.0),
+        ("first those in time, then late ones", WaitingCounts(2, 9), WaitingCounts(), 10.0, 10.0),
     )
 
     def test_share_of_the_free_slots(self) -> None:
