--- a/mountstand/serving/load_groups.py
+++ b/mountstand/serving/load_groups.py
@@ -91,7 +91,7 @@
     )
 
 
-def outside(peers: Iterable[Peer], zones: Collection[str]) -> list[Peer]:
+def peers_outside_zones(peers: Iterable[Peer], zones: Collection[str]) -> list[Peer]:
     """Return the daemons outside some zones, or all daemons if there are none outside."""
     listed = list(peers)
     return [peer for peer in listed if peer.zone not in zones] or listed
--- a/mountstand/serving/load_sharing.py
+++ b/mountstand/serving/load_sharing.py
@@ -23,7 +23,13 @@
     quarters,
     total_of,
 )
-from mountstand.serving.load_groups import LoadGroup, Peer, group_of, outside, serving_members
+from mountstand.serving.load_groups import (
+    LoadGroup,
+    Peer,
+    group_of,
+    peers_outside_zones,
+    serving_members,
+)
 from mountstand.serving.slot_demand import SlotDemand, WaitingCounts, Work, service_key
 from mountstand.serving.slot_shares import deal_slots
 from mountstand.serving.worker import Worker
@@ -281,7 +287,7 @@
         self._grouped_for = grouped_for
         self._peers = peers
         self._group = group_of(self._own_peer, peers)
-        daemons = outside(peers | {self._own_peer}, self._evacuated_zones)
+        daemons = peers_outside_zones(peers | {self._own_peer}, self._evacuated_zones)
         self._serving = serving_members(daemons, slots)
         self._dealt_for = None
 
--- a/mountstand/serving_callers.py
+++ b/mountstand/serving_callers.py
@@ -8,7 +8,7 @@
 from mountstand.membership.caller_addresses import addresses_for, in_regions
 from mountstand.membership.registry import DaemonRegistry, DaemonRow
 from mountstand.serving.configuration import Configuration
-from mountstand.serving.load_groups import outside, serving_members
+from mountstand.serving.load_groups import peers_outside_zones, serving_members
 from mountstand.serving.residency import Geography
 
 
@@ -44,6 +44,6 @@
     def serving(self) -> list[DaemonRow]:
         """Return as few of the sound daemons as carry the load."""
         sound = self._registry.sound()
-        peers = outside((row.as_peer() for row in sound), self._evacuated_zones())
+        peers = peers_outside_zones((row.as_peer() for row in sound), self._evacuated_zones())
         serving = serving_members(peers, self._slots())
         return [row for row in sound if row.name in serving]
--- a/tests/serving/test_evacuation.py
+++ b/tests/serving/test_evacuation.py
@@ -18,7 +18,7 @@
 from mountstand.serving.cold_workers import ColdSends, ColdStart, ColdTolerance
 from mountstand.serving.evacuation import ZoneEvacuations
 from mountstand.serving.evacuation_status import EvacuationStatus
-from mountstand.serving.load_groups import Peer, outside
+from mountstand.serving.load_groups import Peer, peers_outside_zones
 from mountstand.serving.load_sharing import LoadSharing
 from mountstand.serving.prompt import EMPTY_PROMPT
 from mountstand.serving.worker import WorkerRecord
@@ -138,8 +138,8 @@
 
     def test_they_do_where_there_are_no_others(self) -> None:
         peers = [Peer("d0", "a"), Peer("d1", "a")]
-        self.assertEqual(peers, outside(peers, {"a", "b"}))
-        self.assertEqual(peers, outside(peers, {"b"}))
+        self.assertEqual(peers, peers_outside_zones(peers, {"a", "b"}))
+        self.assertEqual(peers, peers_outside_zones(peers, {"b"}))
 
 
 class Status(TestCase):
