--- a/mountstand/serving/load_sharing.py
+++ b/mountstand/serving/load_sharing.py
@@ -30,7 +30,7 @@
     peers_outside_zones,
     serving_members,
 )
-from mountstand.serving.slot_demand import SlotDemand, WaitingCounts, Work, service_key
+from mountstand.serving.slot_demand import SlotDemand, WaitingCounts, WorkKind, service_key
 from mountstand.serving.slot_shares import deal_slots
 from mountstand.serving.worker import Worker
 from mountstand.serving.workers import WorkerDirectory
@@ -101,7 +101,7 @@
         directory: WorkerDirectory,
         own: Peer,
         link: DigestLink,
-        demand_by_work: Mapping[Work, SlotDemand] | None = None,
+        demand_by_work: Mapping[WorkKind, SlotDemand] | None = None,
     ) -> None:
         self._directory = directory
         self._demand_by_work = dict(demand_by_work or {})
@@ -259,7 +259,7 @@
                 counts_by_key[worker.key] = counts
         for work, demand in self._demand_by_work.items():
             for service, waiting in demand.own_by_service.items():
-                counts = LoadCounts(waiting=waiting.in_time, late=waiting.late)
+                counts = LoadCounts(waiting=waiting.on_time, late=waiting.late)
                 if not counts.empty:
                     counts_by_key[service_key(service, work)] = counts
         return counts_by_key
--- a/mountstand/serving/slot_demand.py
+++ b/mountstand/serving/slot_demand.py
@@ -7,14 +7,14 @@
 from enum import Enum
 
 
-class Work(Enum):
+class WorkKind(Enum):
     """What waits for a slot."""
 
     ONLINE = "online"
     BATCH = "batch"
 
 
-def service_key(service: str, work: Work) -> int:
+def service_key(service: str, work: WorkKind) -> int:
     """Return the number that stands among daemons for one kind of work at a service."""
     return zlib.crc32(f"{work.value}:{service}".encode())
 
@@ -23,13 +23,13 @@
 class WaitingCounts:
     """What waits: that which can still be in time, and the late."""
 
-    in_time: int = 0
+    on_time: int = 0
     late: int = 0
 
     @property
     def total(self) -> int:
         """All that waits."""
-        return self.in_time + self.late
+        return self.on_time + self.late
 
 
 NONE_WAITING = WaitingCounts()
@@ -59,9 +59,9 @@
         """
         own = self.own(service)
         peers = self.peers(service)
-        in_time = own.in_time + peers.in_time
-        left = max(0.0, free_slots - in_time)
-        return _part(own.in_time, in_time, free_slots) + _part(
+        on_time = own.on_time + peers.on_time
+        left = max(0.0, free_slots - on_time)
+        return _part(own.on_time, on_time, free_slots) + _part(
             own.late, own.late + peers.late, left
         )
 
--- a/mountstand/serving/slot_lending.py
+++ b/mountstand/serving/slot_lending.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from mountstand.membership.message_link import MessageLink
-from mountstand.serving.slot_demand import Work, service_key
+from mountstand.serving.slot_demand import WorkKind, service_key
 from mountstand.serving.worker import Worker
 from mountstand.serving.workers import WorkerDirectory
 from mountstand.wire.gossip import SlotAsk, SlotGrant, SlotReturn
@@ -144,7 +144,7 @@
         number = next(self._numbers)
         answer = self._answer_by_number[number] = asyncio.get_running_loop().create_future()
         try:
-            self._link.send(SlotAsk(number, service_key(service, Work.ONLINE)), (offer.owner,))
+            self._link.send(SlotAsk(number, service_key(service, WorkKind.ONLINE)), (offer.owner,))
             async with asyncio.timeout(ANSWER_S):
                 return await answer
         except TimeoutError:
@@ -175,7 +175,7 @@
 
     def _service(self, key: int) -> str | None:
         services = self._directory.services
-        return next((s for s in services if service_key(s, Work.ONLINE) == key), None)
+        return next((s for s in services if service_key(s, WorkKind.ONLINE) == key), None)
 
     def _best_offer(self, service: str, asked: set[str]) -> _Offer | None:
         """Return one of the daemons that may lend, the likelier the more slots they have."""
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -31,7 +31,7 @@
 from mountstand.serving.load_sharing import LoadSharing
 from mountstand.serving.online_queue import OnlineQueue
 from mountstand.serving.residency import Regions
-from mountstand.serving.slot_demand import Work
+from mountstand.serving.slot_demand import WorkKind
 from mountstand.serving.slot_lending import SlotLending
 from mountstand.serving.worker_ends import WorkerEnds
 from mountstand.serving.worker_protocol import WorkerProtocol
@@ -251,7 +251,7 @@
             self.directory,
             Peer(settings.name, settings.zone, settings.capacity),
             MembershipLink(self.membership, self.registry),
-            {Work.ONLINE: self.queue.demand, Work.BATCH: self.batch_scheduler.demand},
+            {WorkKind.ONLINE: self.queue.demand, WorkKind.BATCH: self.batch_scheduler.demand},
         )
         self.membership.on_message = self._handle_peer_message
 
--- a/tests/serving/test_batch_room.py
+++ b/tests/serving/test_batch_room.py
@@ -112,9 +112,9 @@
     def test_late_items_leave_the_slots_to_items_of_peers_that_can_be_in_time(self) -> None:
         async def work() -> None:
             tasks = await self.wait(*[LATE] * 9)
-            self.batch_scheduler.demand.peers_by_service["llm"] = WaitingCounts(in_time=6, late=9)
+            self.batch_scheduler.demand.peers_by_service["llm"] = WaitingCounts(on_time=6, late=9)
             self.assertTrue(1 <= sum(await self.granted(tasks)) <= 2)
-            self.batch_scheduler.demand.peers_by_service["llm"] = WaitingCounts(in_time=9)
+            self.batch_scheduler.demand.peers_by_service["llm"] = WaitingCounts(on_time=9)
             self.assertEqual(0, sum(task.done() for task in await self.wait(*[LATE] * 9)))
 
         self.scenario(work)
--- a/tests/serving/test_spread.py
+++ b/tests/serving/test_spread.py
@@ -10,7 +10,7 @@
 from mountstand.serving.load_groups import Peer
 from mountstand.serving.load_sharing import LoadSharing
 from mountstand.serving.prompt import EMPTY_PROMPT
-from mountstand.serving.slot_demand import SlotDemand, WaitingCounts, Work, service_key
+from mountstand.serving.slot_demand import SlotDemand, WaitingCounts, WorkKind, service_key
 from mountstand.serving.spread import DurationAverages, level_after, round_by_chance, weights_below
 from mountstand.serving.workers import WorkerDirectory
 from tests.serving.test_routing import worker_record
@@ -98,11 +98,11 @@
         directory = WorkerDirectory("zone-a", random.Random(1))
         directory.put(worker_record(0), 0.0)
         demand, link = SlotDemand(), RecordingLink(peer)
-        sharing = LoadSharing(directory, own, link, {Work.BATCH: demand})
+        sharing = LoadSharing(directory, own, link, {WorkKind.BATCH: demand})
         demand.own_by_service["llm"] = WaitingCounts(4, 2)
         sharing.tick(0.0)
         digest = link.digests[-1]
-        position = digest.keys.index(service_key("llm", Work.BATCH))
+        position = digest.keys.index(service_key("llm", WorkKind.BATCH))
         self.assertEqual((4, 2), (digest.waiting[position], digest.late[position]))
         sharing.handle("peer", digest, 0.0)
         self.assertEqual(WaitingCounts(4, 2), demand.peers_by_service["llm"])
