--- a/mountstand/serving/load_sharing.py
+++ b/mountstand/serving/load_sharing.py
@@ -31,7 +31,7 @@
     serving_members,
 )
 from mountstand.serving.slot_demand import SlotDemand, WaitingCounts, WorkKind, service_key
-from mountstand.serving.slot_shares import deal_slots
+from mountstand.serving.slot_shares import partition_slots
 from mountstand.serving.worker import Worker
 from mountstand.serving.workers import WorkerDirectory
 from mountstand.wire.gossip import LoadDigest, Scope
@@ -299,7 +299,7 @@
         self._dealt_for = by_key
         serving = [p for p in self._peers | {self._own_peer} if p.member_id in self._serving]
         dealt_by_service = {
-            service: deal_slots(serving, self._directory.of_service(service))
+            service: partition_slots(serving, self._directory.of_service(service))
             for service in self._directory.services
         }
         own = self._own_peer.member_id
--- a/mountstand/serving/slot_shares.py
+++ b/mountstand/serving/slot_shares.py
@@ -19,7 +19,7 @@
 """Slots of one worker by the daemons that they are dealt to."""
 
 
-def deal_slots(daemons: Iterable[Peer], workers: Iterable[Worker]) -> dict[str, SlotsByOwner]:
+def partition_slots(daemons: Iterable[Peer], workers: Iterable[Worker]) -> dict[str, SlotsByOwner]:
     """Return by worker how many of its slots are dealt to which daemons.
 
     ``daemons`` are those that serve callers, ``workers`` those of one service.
--- a/tests/serving/test_slot_lending.py
+++ b/tests/serving/test_slot_lending.py
@@ -20,7 +20,7 @@
     SlotLending,
     SlotMessage,
 )
-from mountstand.serving.slot_shares import deal_slots
+from mountstand.serving.slot_shares import partition_slots
 from mountstand.serving.worker import Worker
 from mountstand.wire.gossip import SlotAsk, SlotGrant
 from tests.serving.test_routing import worker_record
@@ -66,7 +66,7 @@
         for number in range(2):
             self.directory.put(worker_record(number, slots=SLOTS), 0.0)
         peers = [Peer("a", "zone-a"), Peer("b", "zone-a")]
-        dealt = deal_slots(peers, self.directory.of_service("llm"))
+        dealt = partition_slots(peers, self.directory.of_service("llm"))
         chooser = self.directory.chooser
         chooser.owners_by_service = {"llm": dealt}
         chooser.own_slots = {w: owners[name] for w, owners in dealt.items() if name in owners}
--- a/tests/serving/test_slot_shares.py
+++ b/tests/serving/test_slot_shares.py
@@ -10,7 +10,7 @@
 from mountstand.serving.load_groups import Peer
 from mountstand.serving.load_sharing import LoadSharing
 from mountstand.serving.prompt import EMPTY_PROMPT, Prompt, PromptPart
-from mountstand.serving.slot_shares import deal_slots
+from mountstand.serving.slot_shares import partition_slots
 from mountstand.serving.worker import Worker, WorkerRecord
 from mountstand.serving.workers import WorkerDirectory
 from tests.serving.test_routing import worker_record
@@ -35,7 +35,7 @@
         for count in (1, 2, 6, 45, 46):
             with self.subTest(workers=count):
                 fleet = workers(count)
-                dealt = deal_slots(DAEMONS, fleet)
+                dealt = partition_slots(DAEMONS, fleet)
                 self.assertEqual({w.record.worker_id for w in fleet}, set(dealt))
                 self.assertEqual({6}, {sum(by_owner.values()) for by_owner in dealt.values()})
                 totals = Counter({peer.member_id: 0 for peer in DAEMONS})
@@ -49,7 +49,7 @@
         zone_by_daemon = {peer.member_id: peer.zone for peer in DAEMONS}
         near = sum(
             slots
-            for worker_id, by_owner in deal_slots(DAEMONS, fleet).items()
+            for worker_id, by_owner in partition_slots(DAEMONS, fleet).items()
             for owner, slots in by_owner.items()
             if zone_by_id[worker_id] == zone_by_daemon[owner]
         )
@@ -57,11 +57,13 @@
 
     def test_the_order_of_the_lists_does_not_matter(self) -> None:
         fleet = workers(45)
-        self.assertEqual(deal_slots(DAEMONS, fleet), deal_slots(DAEMONS[::-1], fleet[::-1]))
+        self.assertEqual(
+            partition_slots(DAEMONS, fleet), partition_slots(DAEMONS[::-1], fleet[::-1])
+        )
 
     def test_nothing_is_dealt_where_nobody_serves_or_nothing_is_there(self) -> None:
-        self.assertEqual({}, deal_slots([], workers(6)))
-        self.assertEqual({}, deal_slots(DAEMONS, []))
+        self.assertEqual({}, partition_slots([], workers(6)))
+        self.assertEqual({}, partition_slots(DAEMONS, []))
 
 
 class Choice(TestCase):
