--- a/mountstand/serving/load_sharing.py
+++ b/mountstand/serving/load_sharing.py
@@ -165,7 +165,7 @@
         self._regroup()
         self._deal_slots()
         self._expire(now_s)
-        self._directory.chooser.picture_age_s = self.hops * self.period_s / 2
+        self._directory.chooser.peer_load_age_s = self.hops * self.period_s / 2
         own = self._own_counts(now_s)
         unreachable = self._unreachable(now_s)
         if self._is_head:
--- a/mountstand/serving/online_queue.py
+++ b/mountstand/serving/online_queue.py
@@ -246,7 +246,7 @@
         workers = self._directory.of_service(service)
         online = sum(worker.online for worker in workers)
         chooser = self._directory.chooser
-        unseen = chooser.durations.expected_arrivals(service, online, chooser.picture_age_s)
+        unseen = chooser.durations.expected_arrivals(service, online, chooser.peer_load_age_s)
         return unseen * TIGHT_FACTOR > self.room(service, now_s)
 
     def _borrow(self, service: str) -> None:
--- a/mountstand/serving/slot_lending.py
+++ b/mountstand/serving/slot_lending.py
@@ -137,7 +137,7 @@
 
     def _held_until_s(self, now_s: float) -> float:
         """Return until when a lent slot counts as taken: then digests show what runs there."""
-        return now_s + 2 * self._directory.chooser.picture_age_s + HELD_S
+        return now_s + 2 * self._directory.chooser.peer_load_age_s + HELD_S
 
     async def _ask(self, service: str, offer: _Offer) -> bool:
         """Ask one daemon; returns whether it lent a slot, or said nothing and one was used."""
--- a/mountstand/serving/worker_choice.py
+++ b/mountstand/serving/worker_choice.py
@@ -43,7 +43,7 @@
 class WorkerChooser:
     """Chooses by load, and by home where much of a prompt is shared.
 
-    ``picture_age_s`` is how old what peers tell of their requests is on average, ``durations`` how
+    ``peer_load_age_s`` is how old what peers tell of their requests is on average, ``durations`` how
     long online requests usually take, ``own_slots`` how many slots of which workers are dealt to
     this daemon, and ``owners_by_service`` those of all (:mod:`mountstand.serving.slot_shares`).
     """
@@ -51,7 +51,7 @@
     def __init__(self, zone: str, source: random.Random) -> None:
         self._zone = zone
         self._source = source
-        self.picture_age_s = 0.0
+        self.peer_load_age_s = 0.0
         self.durations = DurationAverages()
         self.own_slots: dict[str, int] = {}
         self.owners_by_service: dict[str, dict[str, SlotsByOwner]] = {}
@@ -93,7 +93,7 @@
         unseen = self.durations.expected_arrivals(
             spread[0].record.service,
             sum(worker.peer_online for worker in spread),
-            self.picture_age_s,
+            self.peer_load_age_s,
         )
         if unseen > UNSEEN_PER_WORKER * len(spread):
             return self._choose_by_weight(spread, unseen, tolerated, now_s)
--- a/tests/serving/test_slot_lending.py
+++ b/tests/serving/test_slot_lending.py
@@ -109,7 +109,7 @@
             for daemon in (self.a, self.b):
                 # Requests take long, so that slots are tight as soon as some are taken.
                 daemon.directory.chooser.durations.observe("llm", 1.0)
-                daemon.directory.chooser.picture_age_s = 0.5
+                daemon.directory.chooser.peer_load_age_s = 0.5
             await work()
 
         run_paused(whole())
@@ -135,7 +135,7 @@
             self.assertIs(self.a.worker(1), task.result())
             lent = self.b.worker(1)
             self.assertEqual(1, lent.lent(self.loop.time()))
-            held_s = 2 * self.b.directory.chooser.picture_age_s + HELD_S
+            held_s = 2 * self.b.directory.chooser.peer_load_age_s + HELD_S
             self.assertEqual(0, lent.lent(self.loop.time() + held_s))
 
         self.scenario(work)
@@ -226,7 +226,7 @@
 
     def test_nobody_is_asked_while_the_picture_shows_plenty(self) -> None:
         async def work() -> None:
-            self.a.directory.chooser.picture_age_s = 0.0
+            self.a.directory.chooser.peer_load_age_s = 0.0
             self.a.fill(0)
             task = await self.a.ask()
             await asyncio.sleep(0)
--- a/tests/serving/test_spread.py
+++ b/tests/serving/test_spread.py
@@ -54,7 +54,7 @@
 
     def directory(self, seed: int) -> WorkerDirectory:
         directory = WorkerDirectory("zone-a", random.Random(seed))
-        directory.chooser.picture_age_s = 0.3
+        directory.chooser.peer_load_age_s = 0.3
         directory.chooser.durations.observe("llm", 0.9)
         for i in range(self.WORKERS):
             directory.put(worker_record(i, slots=9), 0.0)
@@ -75,7 +75,7 @@
         chosen: list[int] = []
         for seed in range(self.DAEMONS):
             directory = self.directory(seed)
-            directory.chooser.picture_age_s = 0.01
+            directory.chooser.peer_load_age_s = 0.01
             worker = directory.choose("llm", EMPTY_PROMPT, set(), 0.0)
             assert worker is not None
             chosen.append(worker.peer_online)
