--- a/tests/serving/test_spread.py
+++ b/tests/serving/test_spread.py
@@ -11,7 +11,12 @@
 from mountstand.serving.load_sharing import LoadSharing
 from mountstand.serving.prompt import EMPTY_PROMPT
 from mountstand.serving.slot_demand import SlotDemand, WaitingCounts, WorkKind, service_key
-from mountstand.serving.spread import DurationAverages, level_after, round_by_chance, weights_below
+from mountstand.serving.spread import (
+    DurationAverages,
+    fill_level_after,
+    round_by_chance,
+    weights_below,
+)
 from mountstand.serving.workers import WorkerDirectory
 from tests.serving.test_routing import worker_record
 from tests.stand_ins.digest_link import RecordingLink
@@ -29,7 +34,7 @@
     def test_level(self) -> None:
         for name, fills, arrivals, expected in self.CASES:
             with self.subTest(name):
-                level = level_after(fills, arrivals)
+                level = fill_level_after(fills, arrivals)
                 self.assertAlmostEqual(expected, level)
                 self.assertAlmostEqual(arrivals, sum(weights_below(fills, level)))
 
