--- a/mountstand/serving/load_sharing.py
+++ b/mountstand/serving/load_sharing.py
@@ -303,7 +303,7 @@
             for service in self._directory.services
         }
         own = self._own_peer.member_id
-        self._directory.chooser.owners_by_service = dealt_by_service
+        self._directory.chooser.slot_owners_by_service = dealt_by_service
         self._directory.chooser.own_slots = {
             worker_id: by_owner[own]
             for dealt in dealt_by_service.values()
--- a/mountstand/serving/slot_lending.py
+++ b/mountstand/serving/slot_lending.py
@@ -87,7 +87,7 @@
 
     def can_borrow(self, service: str) -> bool:
         """Return whether there are daemons to ask."""
-        return bool(self._directory.chooser.owners_by_service.get(service))
+        return bool(self._directory.chooser.slot_owners_by_service.get(service))
 
     async def borrow(self, service: str) -> None:
         """Look for a slot for one of the requests that wait here."""
@@ -181,7 +181,7 @@
         """Return one of the daemons that may lend, the likelier the more slots they have."""
         now_s = asyncio.get_running_loop().time()
         best_by_owner: dict[str, _Offer] = {}
-        owners_by_worker = self._directory.chooser.owners_by_service.get(service, {})
+        owners_by_worker = self._directory.chooser.slot_owners_by_service.get(service, {})
         for worker in self._directory.of_service(service):
             if not worker.is_available(now_s):
                 continue
--- a/mountstand/serving/worker_choice.py
+++ b/mountstand/serving/worker_choice.py
@@ -45,7 +45,7 @@
 
     ``peer_load_age_s`` is how old what peers tell of their requests is on average, ``durations`` how
     long online requests usually take, ``own_slots`` how many slots of which workers are dealt to
-    this daemon, and ``owners_by_service`` those of all (:mod:`mountstand.serving.slot_shares`).
+    this daemon, and ``slot_owners_by_service`` those of all (:mod:`mountstand.serving.slot_shares`).
     """
 
     def __init__(self, zone: str, source: random.Random) -> None:
@@ -54,7 +54,7 @@
         self.peer_load_age_s = 0.0
         self.durations = DurationAverages()
         self.own_slots: dict[str, int] = {}
-        self.owners_by_service: dict[str, dict[str, SlotsByOwner]] = {}
+        self.slot_owners_by_service: dict[str, dict[str, SlotsByOwner]] = {}
 
     def choose(self, candidates: list[Worker], prompt: Prompt, now_s: float) -> Worker:
         """Choose among workers of one service, of which there is one at least."""
--- a/tests/serving/test_evacuation.py
+++ b/tests/serving/test_evacuation.py
@@ -130,7 +130,7 @@
         sharing.use_evacuations(frozenset({"b"}))
         sharing.tick(0.2)
         self.assertEqual({"d0", "d2"}, sharing.serving)
-        owners = directory.chooser.owners_by_service["llm"]["w0"]
+        owners = directory.chooser.slot_owners_by_service["llm"]["w0"]
         self.assertEqual({"d0", "d2"}, set(owners), "slots are dealt to daemons that serve")
         sharing.use_evacuations(frozenset())
         sharing.tick(0.3)
--- a/tests/serving/test_slot_lending.py
+++ b/tests/serving/test_slot_lending.py
@@ -68,7 +68,7 @@
         peers = [Peer("a", "zone-a"), Peer("b", "zone-a")]
         dealt = partition_slots(peers, self.directory.of_service("llm"))
         chooser = self.directory.chooser
-        chooser.owners_by_service = {"llm": dealt}
+        chooser.slot_owners_by_service = {"llm": dealt}
         chooser.own_slots = {w: owners[name] for w, owners in dealt.items() if name in owners}
         self.net = Net(name, by_name)
         self.lending = SlotLending(self.directory, name, self.net, random.Random(5))
