--- a/mountstand/serving/spread.py
+++ b/mountstand/serving/spread.py
@@ -33,7 +33,7 @@
     return level + left / slots_below if slots_below else level
 
 
-def weights_below(fills: Sequence[tuple[float, int]], level: float) -> list[float]:
+def deficits_below(fills: Sequence[tuple[float, int]], level: float) -> list[float]:
     """Return how many requests each worker lacks to be filled to ``level``."""
     return [max(0.0, level - fill) * slots for fill, slots in fills]
 
--- a/mountstand/serving/worker_choice.py
+++ b/mountstand/serving/worker_choice.py
@@ -14,7 +14,7 @@
 from mountstand.hashing import rendezvous_weight
 from mountstand.serving.prompt import Prompt
 from mountstand.serving.slot_shares import SlotsByOwner
-from mountstand.serving.spread import DurationAverages, fill_level_after, weights_below
+from mountstand.serving.spread import DurationAverages, deficits_below, fill_level_after
 from mountstand.serving.worker import Worker
 
 SAMPLE_SIZE = 4
@@ -132,7 +132,7 @@
     ) -> Worker:
         """Choose by chance, the likelier the more a worker lacks to the level of all."""
         fills = _fills(candidates, now_s)
-        lacking = weights_below(fills, max(FULL, fill_level_after(fills, unseen)))
+        lacking = deficits_below(fills, max(FULL, fill_level_after(fills, unseen)))
         weights = [
             lack * tolerated / (tolerated + worker.unread)
             for lack, worker in zip(lacking, candidates, strict=True)
--- a/tests/serving/test_spread.py
+++ b/tests/serving/test_spread.py
@@ -13,9 +13,9 @@
 from mountstand.serving.slot_demand import SlotDemand, WaitingCounts, WorkKind, service_key
 from mountstand.serving.spread import (
     DurationAverages,
+    deficits_below,
     fill_level_after,
     round_by_chance,
-    weights_below,
 )
 from mountstand.serving.workers import WorkerDirectory
 from tests.serving.test_routing import worker_record
@@ -36,7 +36,7 @@
             with self.subTest(name):
                 level = fill_level_after(fills, arrivals)
                 self.assertAlmostEqual(expected, level)
-                self.assertAlmostEqual(arrivals, sum(weights_below(fills, level)))
+                self.assertAlmostEqual(arrivals, sum(deficits_below(fills, level)))
 
     def test_rounding_by_chance_keeps_the_mean(self) -> None:
         source = random.Random(5)
