--- a/mountstand/serving/batch_room.py
+++ b/mountstand/serving/batch_room.py
@@ -189,7 +189,7 @@
     def _grant(self, service: str, allowance: int, now_s: float) -> None:
         waiting = self._waiting.get(service, [])
         while waiting and allowance > 0:
-            worker = self._directory.choose_below(service, FULL, now_s)
+            worker = self._directory.choose_below_utilization(service, FULL, now_s)
             if worker is None:
                 return
             waiter = waiting.pop(0)
--- a/mountstand/serving/online_queue.py
+++ b/mountstand/serving/online_queue.py
@@ -236,7 +236,7 @@
         Prompts that some worker keeps most of go by the picture to that worker.
         """
         if self._lends(service) and prompt.affinity_key is None:
-            own = self._directory.choose_own(service, now_s)
+            own = self._directory.choose_own_slot(service, now_s)
             if own is not None or self._is_tight(service, now_s):
                 return own
         return self._choose(service, prompt, times, now_s)
--- a/mountstand/serving/slot_lending.py
+++ b/mountstand/serving/slot_lending.py
@@ -166,7 +166,7 @@
 
     def _lend(self, service: str, now_s: float) -> Worker | None:
         """Return a worker whose slot another daemon may use, and count the slot as taken."""
-        worker = self._directory.choose_own(service, now_s) if self.may_lend(service) else None
+        worker = self._directory.choose_own_slot(service, now_s) if self.may_lend(service) else None
         if worker is None:
             worker = self.preempt_batch_item(service)
         if worker is not None:
--- a/mountstand/serving/worker_choice.py
+++ b/mountstand/serving/worker_choice.py
@@ -86,7 +86,7 @@
         Workers that have much to read before this prompt are avoided.
         """
         tolerated = max(1, prompt.tokens * READ_TOLERANCE)
-        own = self.choose_own(candidates, tolerated, now_s)
+        own = self.choose_own_slot(candidates, tolerated, now_s)
         if own is not None:
             return own
         spread = self._sample(candidates, SPREAD_SIZE)
@@ -106,7 +106,9 @@
 
         return min(sample, key=cost)
 
-    def choose_own(self, candidates: list[Worker], tolerated: int, now_s: float) -> Worker | None:
+    def choose_own_slot(
+        self, candidates: list[Worker], tolerated: int, now_s: float
+    ) -> Worker | None:
         """Choose the worker with most of this daemon's own slots free, if there is any."""
 
         def free(worker: Worker) -> float:
--- a/mountstand/serving/workers.py
+++ b/mountstand/serving/workers.py
@@ -238,7 +238,7 @@
             candidates = [w for w in self._candidates(service, tried, now_s) if allows(w)]
         return self.chooser.choose(candidates, prompt, now_s) if candidates else None
 
-    def choose_below(self, service: str, fill: float, now_s: float) -> Worker | None:
+    def choose_below_utilization(self, service: str, fill: float, now_s: float) -> Worker | None:
         """Choose a worker that one more request fills to ``fill`` of its slots at most."""
 
         def has_room(worker: Worker) -> bool:
@@ -252,12 +252,12 @@
             return None
         return self.chooser.choose_least_loaded(candidates, EMPTY_PROMPT, now_s)
 
-    def choose_own(self, service: str, now_s: float) -> Worker | None:
+    def choose_own_slot(self, service: str, now_s: float) -> Worker | None:
         """Choose a worker of which one of this daemon's own slots is free, if there is any."""
         own_slots = self.chooser.own_slots
         own = [w for w in self.of_service(service) if w.record.worker_id in own_slots]
         usable = [worker for worker in own if worker.is_available(now_s)]
-        return self.chooser.choose_own(usable, sys.maxsize, now_s)
+        return self.chooser.choose_own_slot(usable, sys.maxsize, now_s)
 
     def _drawn(self, service: str) -> list[Worker]:
         """Return some workers of a service that has many, else none."""
--- a/tests/serving/test_slot_shares.py
+++ b/tests/serving/test_slot_shares.py
@@ -107,6 +107,6 @@
         self.assertEqual(14, sum(self.directory.chooser.own_slots.values()))
 
     def test_batch_items_take_own_slots_first_too(self) -> None:
-        worker = self.directory.choose_below("llm", 1.0, 1.0)
+        worker = self.directory.choose_below_utilization("llm", 1.0, 1.0)
         assert worker is not None
         self.assertIn(worker.record.worker_id, self.mine)
--- a/tests/serving/test_spread.py
+++ b/tests/serving/test_spread.py
@@ -90,7 +90,7 @@
     def test_batch_items_spread_by_the_room_that_is_left(self) -> None:
         granted: Counter[str] = Counter()
         for seed in range(self.DAEMONS):
-            worker = self.directory(seed).choose_below("llm", 0.9, 0.0)
+            worker = self.directory(seed).choose_below_utilization("llm", 0.9, 0.0)
             assert worker is not None
             granted[worker.record.worker_id] += 1
         self.assertEqual({0, 1, 2}, {int(name[1:]) % 6 for name in granted})
