--- a/mountstand/serving/forwarder.py
+++ b/mountstand/serving/forwarder.py
@@ -24,7 +24,7 @@
     worker_failed,
 )
 from mountstand.serving.exchange_log import ExchangeLog
-from mountstand.serving.online_queue import OnlineQueue, start_times
+from mountstand.serving.online_queue import OnlineQueue, start_deadlines
 from mountstand.serving.reply_relay import ReplyRelay
 from mountstand.serving.worker import PendingPrefill, Worker
 from mountstand.serving.worker_protocol import Call, WorkerProtocol
@@ -148,7 +148,7 @@
         route = exchange.route
         patience_s = min(route.patience_s, exchange.deadline_s - received_at_s)
         priority = exchange.call.priority
-        times = start_times(received_at_s, route.target_latency_s, patience_s, priority)
+        times = start_deadlines(received_at_s, route.target_latency_s, patience_s, priority)
         worker = await self._queue.acquire(
             exchange.service, exchange.call.prompt, times, exchange.call
         )
--- a/mountstand/serving/online_queue.py
+++ b/mountstand/serving/online_queue.py
@@ -76,7 +76,7 @@
         return (self.is_late(now_s), self.priority, self.in_time_s)
 
 
-def start_times(
+def start_deadlines(
     received_at_s: float, target_latency_s: float, patience_s: float, priority: int = 0
 ) -> StartTimes:
     """Return when a request should start that was received at ``received_at_s``."""
--- a/tests/model/test_online_queue.py
+++ b/tests/model/test_online_queue.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from testtools import TestCase
 
-from mountstand.serving.online_queue import start_times
+from mountstand.serving.online_queue import start_deadlines
 from mountstand.serving.prompt import EMPTY_PROMPT
 from mountstand.serving.slot_demand import WaitingCounts
 from mountstand.serving.worker import LoadReport, Worker
@@ -53,7 +53,7 @@
         now_s = self.loop.time()
         workers = list(self.directory.workers.values())
         if name == "arrive":
-            times = start_times(now_s, value, PATIENCE_S)
+            times = start_deadlines(now_s, value, PATIENCE_S)
             task = asyncio.create_task(self.queue.acquire("llm", EMPTY_PROMPT, times))
             self.asked_at_s[task] = now_s
         elif name == "end" and self.running:
--- a/tests/serving/test_fair_shares.py
+++ b/tests/serving/test_fair_shares.py
@@ -11,7 +11,7 @@
 from testtools import TestCase
 
 from mountstand.serving.fair_shares import FREE_REQUESTS, KEPT_S, WINDOW_S, FairShares
-from mountstand.serving.online_queue import start_times
+from mountstand.serving.online_queue import start_deadlines
 from mountstand.serving.prompt import EMPTY_PROMPT
 from mountstand.serving.worker import Worker
 from mountstand.serving.worker_protocol import Call
@@ -102,7 +102,7 @@
 
             async def ask(tenant: str, priority: int = 0) -> None:
                 call = Call("r", HOST, "POST", "/x", (), b"", tenant=tenant, tenant_weight=1.0)
-                times = start_times(loop.time(), 0.3, 2.0, priority)
+                times = start_deadlines(loop.time(), 0.3, 2.0, priority)
                 found: Worker | None = await fleet.queue.acquire("llm", EMPTY_PROMPT, times, call)
                 assert found is not None
                 started.append(tenant)
@@ -128,7 +128,7 @@
                 fleet.queue._shares("llm").note_begun("hot", 1.0, SLOT_S, loop.time())
             call = Call("r", HOST, "POST", "/x", (), b"", tenant="hot", tenant_weight=1.0)
             before_s = loop.time()
-            times = start_times(before_s, 0.3, 2.0)
+            times = start_deadlines(before_s, 0.3, 2.0)
             self.assertIsNotNone(await fleet.queue.acquire("llm", EMPTY_PROMPT, times, call))
             self.assertEqual(before_s, loop.time())
 
--- a/tests/serving/test_online_queue.py
+++ b/tests/serving/test_online_queue.py
@@ -9,7 +9,7 @@
 from testtools import TestCase
 
 from mountstand.serving.batch_room import Placement, Urgency
-from mountstand.serving.online_queue import StartTimes, start_times
+from mountstand.serving.online_queue import StartTimes, start_deadlines
 from mountstand.serving.prompt import EMPTY_PROMPT
 from mountstand.serving.slot_demand import WaitingCounts
 from mountstand.serving.spread import DurationAverages
@@ -42,7 +42,7 @@
         run_paused(whole())
 
     def times(self) -> StartTimes:
-        return start_times(self.loop.time(), OBJECTIVE_S, PATIENCE_S)
+        return start_deadlines(self.loop.time(), OBJECTIVE_S, PATIENCE_S)
 
     async def ask(self, times: StartTimes | None = None) -> asyncio.Task[Worker | None]:
         task = asyncio.create_task(self.queue.acquire("llm", EMPTY_PROMPT, times or self.times()))
@@ -74,9 +74,9 @@
         async def work() -> None:
             self.worker.in_flight = SLOTS
             now_s = self.loop.time()
-            late = await self.ask(start_times(now_s - OBJECTIVE_S, OBJECTIVE_S, PATIENCE_S, 0))
-            usual = await self.ask(start_times(now_s, OBJECTIVE_S, PATIENCE_S, 1))
-            urgent = await self.ask(start_times(now_s, OBJECTIVE_S, PATIENCE_S, 0))
+            late = await self.ask(start_deadlines(now_s - OBJECTIVE_S, OBJECTIVE_S, PATIENCE_S, 0))
+            usual = await self.ask(start_deadlines(now_s, OBJECTIVE_S, PATIENCE_S, 1))
+            urgent = await self.ask(start_deadlines(now_s, OBJECTIVE_S, PATIENCE_S, 0))
             for expected in ([False, False, True], [False, True, True], [True, True, True]):
                 self.end_one()
                 await settle()
@@ -126,7 +126,7 @@
     def test_the_earliest_due_goes_first(self) -> None:
         async def work() -> None:
             self.worker.in_flight = SLOTS
-            second = await self.ask(start_times(self.loop.time(), 3.0, PATIENCE_S))
+            second = await self.ask(start_deadlines(self.loop.time(), 3.0, PATIENCE_S))
             first = await self.ask()
             self.end_one()
             await settle()
--- a/tests/serving/test_residency.py
+++ b/tests/serving/test_residency.py
@@ -13,7 +13,7 @@
 from mountstand.membership.registry import DaemonRow
 from mountstand.platform.operator_rows import decode_configuration
 from mountstand.serving.batch_room import BatchScheduler, Urgency
-from mountstand.serving.online_queue import OnlineQueue, start_times
+from mountstand.serving.online_queue import OnlineQueue, start_deadlines
 from mountstand.serving.prompt import EMPTY_PROMPT
 from mountstand.serving.residency import Geography, in_both
 from mountstand.serving.worker import Worker, WorkerRecord
@@ -79,7 +79,7 @@
         return self.directory.workers[worker_id]
 
     async def ask(self, pool: str) -> asyncio.Task[Worker | None]:
-        times = start_times(asyncio.get_running_loop().time(), 0.3, 2.0)
+        times = start_deadlines(asyncio.get_running_loop().time(), 0.3, 2.0)
         task = asyncio.create_task(self.queue.acquire(pool, EMPTY_PROMPT, times))
         await settle()
         return task
--- a/tests/serving/test_slot_lending.py
+++ b/tests/serving/test_slot_lending.py
@@ -11,7 +11,7 @@
 from mountstand.membership.message_link import MessageLink
 from mountstand.serving.batch_room import Placement, Urgency
 from mountstand.serving.load_groups import Peer
-from mountstand.serving.online_queue import start_times
+from mountstand.serving.online_queue import start_deadlines
 from mountstand.serving.prompt import EMPTY_PROMPT
 from mountstand.serving.slot_lending import (
     HELD_S,
@@ -87,7 +87,7 @@
 
     async def ask(self) -> asyncio.Task[Worker | None]:
         now_s = asyncio.get_running_loop().time()
-        times = start_times(now_s, OBJECTIVE_S, PATIENCE_S)
+        times = start_deadlines(now_s, OBJECTIVE_S, PATIENCE_S)
         return asyncio.create_task(self.queue.acquire("llm", EMPTY_PROMPT, times))
 
     def end_one(self, number: int) -> None:
