--- a/mountstand/serving/batch_room.py
+++ b/mountstand/serving/batch_room.py
@@ -133,7 +133,7 @@
         self._order_waiting(now_s)
         running = self._services_running()
         for service in running:
-            for worker in self._directory.of_service(service):
+            for worker in self._directory.active_workers(service):
                 self._preempt_excess(worker, now_s, part)
         waiting = {service for service, waiters in self._waiting.items() if waiters}
         pools = running | waiting
@@ -143,7 +143,7 @@
             if self._online.waiting(service):
                 self._preempt_for_waiting(service, now_s, part)
             else:
-                workers = self._directory.of_service(service)
+                workers = self._directory.active_workers(service)
                 allowed = self.demand.share_of(service, _free_slots(workers, now_s)) * part
                 self._grant(service, round_by_chance(allowed, self._source), now_s)
 
@@ -214,7 +214,7 @@
 
     def _preempt_for_waiting(self, service: str, now_s: float, part: float) -> None:
         """Take off this daemon's part of the items whose slots waiting online requests lack."""
-        workers = self._directory.of_service(service)
+        workers = self._directory.active_workers(service)
         own = sum(worker.batch_in_flight for worker in workers)
         lacking = self._online.waiting(service) - self._online.room(service, now_s)
         if not own or lacking <= 0:
--- a/mountstand/serving/load_sharing.py
+++ b/mountstand/serving/load_sharing.py
@@ -299,7 +299,7 @@
         self._dealt_for = by_key
         serving = [p for p in self._peers | {self._own_peer} if p.member_id in self._serving]
         dealt_by_service = {
-            service: partition_slots(serving, self._directory.of_service(service))
+            service: partition_slots(serving, self._directory.active_workers(service))
             for service in self._directory.services
         }
         own = self._own_peer.member_id
--- a/mountstand/serving/online_queue.py
+++ b/mountstand/serving/online_queue.py
@@ -156,7 +156,7 @@
             worker = self._choose_now(service, prompt, times, now_s)
             if worker is not None:
                 return _count(worker)
-        if full or not self._directory.of_service(service):
+        if full or not self._directory.active_workers(service):
             return self._choose_any(service, prompt, now_s)
         return await self._wait(service, _Waiter(prompt, times, _new_future(), call), times)
 
@@ -243,7 +243,7 @@
 
     def _is_tight(self, service: str, now_s: float) -> bool:
         """Return whether requests that nobody here knows of may have taken most free slots."""
-        workers = self._directory.of_service(service)
+        workers = self._directory.active_workers(service)
         online = sum(worker.online for worker in workers)
         chooser = self._directory.chooser
         unseen = chooser.durations.expected_arrivals(service, online, chooser.peer_load_age_s)
@@ -312,7 +312,7 @@
         queue_s = 0.0 if self._lends(service) else self._queue_s_by_service.get(service, 0.0)
         return sum(
             max(0.0, self._limit(worker, queue_s) - worker.estimated_load(now_s))
-            for worker in self._directory.of_service(service)
+            for worker in self._directory.active_workers(service)
             if worker.is_available(now_s)
         )
 
--- a/mountstand/serving/slot_lending.py
+++ b/mountstand/serving/slot_lending.py
@@ -182,7 +182,7 @@
         now_s = asyncio.get_running_loop().time()
         best_by_owner: dict[str, _Offer] = {}
         owners_by_worker = self._directory.chooser.slot_owners_by_service.get(service, {})
-        for worker in self._directory.of_service(service):
+        for worker in self._directory.active_workers(service):
             if not worker.is_available(now_s):
                 continue
             free = worker.slots() - worker.estimated_load(now_s) + worker.peer_batch
--- a/mountstand/serving/workers.py
+++ b/mountstand/serving/workers.py
@@ -25,7 +25,7 @@
 class WorkerDirectory:
     """All workers that the platform lists, and those that left a moment ago.
 
-    ``leaving_use_s`` is how long a worker that is leaving may still be used where no other is left.
+    ``leaving_grace_s`` is how long a worker that is leaving may still be used where no other is left.
     Indexes are made anew by the first look-up after a change: a start brings thousands of changes
     at once. Where requests may be served in some regions alone, the workers of a service there are
     a pool with a name of its own, which stands for a service in all look-ups.
@@ -35,13 +35,13 @@
         self,
         zone: str,
         source: random.Random,
-        leaving_use_s: float = 1.0,
+        leaving_grace_s: float = 1.0,
         geography: Geography | None = None,
     ) -> None:
         self.workers: dict[str, Worker] = {}
         self._index: _WorkerIndex | None = None
         self._source = source
-        self.leaving_use_s = leaving_use_s
+        self.leaving_grace_s = leaving_grace_s
         self.chooser = WorkerChooser(zone, source)
         self._geography = geography or Geography()
         self._pool_by_name: dict[str, _Pool] = {}
@@ -180,7 +180,7 @@
         """Eject workers that fail far more often than others; returns the new ones."""
         newly: list[Worker] = []
         for service in self.services:
-            workers = self.of_service(service)
+            workers = self.active_workers(service)
             ejected = judge([worker.health for worker in workers], now_s)
             if ejected:
                 newly += [worker for worker in workers if worker.health in ejected]
@@ -200,7 +200,7 @@
             del self.workers[worker.record.worker_id]
             self._index = None
 
-    def of_service(self, service: str) -> list[Worker]:
+    def active_workers(self, service: str) -> list[Worker]:
         """Return the workers of a service that take new work; the list is not to be changed."""
         return self._indexed().staying_by_service.get(service, [])
 
@@ -210,7 +210,7 @@
             worker
             for worker in self._indexed().leaving_by_service.get(service, [])
             if worker.withdrawn_since_s is not None
-            and now_s - worker.withdrawn_since_s <= self.leaving_use_s
+            and now_s - worker.withdrawn_since_s <= self.leaving_grace_s
         ]
 
     def choose(
@@ -247,7 +247,7 @@
 
         candidates = [worker for worker in self._drawn(service) if has_room(worker)]
         if not candidates:
-            candidates = [worker for worker in self.of_service(service) if has_room(worker)]
+            candidates = [worker for worker in self.active_workers(service) if has_room(worker)]
         if not candidates:
             return None
         return self.chooser.choose_least_loaded(candidates, EMPTY_PROMPT, now_s)
@@ -255,13 +255,13 @@
     def choose_own_slot(self, service: str, now_s: float) -> Worker | None:
         """Choose a worker of which one of this daemon's own slots is free, if there is any."""
         own_slots = self.chooser.own_slots
-        own = [w for w in self.of_service(service) if w.record.worker_id in own_slots]
+        own = [w for w in self.active_workers(service) if w.record.worker_id in own_slots]
         usable = [worker for worker in own if worker.is_available(now_s)]
         return self.chooser.choose_own_slot(usable, sys.maxsize, now_s)
 
     def _drawn(self, service: str) -> list[Worker]:
         """Return some workers of a service that has many, else none."""
-        workers = self.of_service(service)
+        workers = self.active_workers(service)
         if len(workers) <= MOST_CONSIDERED:
             return []
         return self._source.sample(workers, MOST_CONSIDERED)
@@ -283,7 +283,7 @@
     def _candidates(self, service: str, tried: set[str], now_s: float) -> list[Worker]:
         untried = [
             worker
-            for worker in self.of_service(service)
+            for worker in self.active_workers(service)
             if worker.record.worker_id not in tried and worker.bears_one(now_s)
         ]
         reachable = [worker for worker in untried if worker.avoid_until_s <= now_s]
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -437,7 +437,7 @@
         self.feeds.use_settings(settings)
         self._limits.use_settings(settings)
         self._zones.use_tolerance(settings.cold_tolerance)
-        self.directory.leaving_use_s = settings.drain_s * LEAVING_USE_SHARE
+        self.directory.leaving_grace_s = settings.drain_s * LEAVING_USE_SHARE
         self.log.event("reload", changed=changed)
 
     async def _register(self) -> None:
--- a/tests/serving/test_feeds.py
+++ b/tests/serving/test_feeds.py
@@ -57,7 +57,7 @@
             self.assertIn("w4", fleet.directory.workers)
             self.assertEqual(2, len(fleet.log.lines("worker_unreadable")))
             state.apply(TableChange([row("servers", "w0", 6, {"state": "ready"})], False))
-            staying = [w.record.worker_id for w in fleet.directory.of_service("llm")]
+            staying = [w.record.worker_id for w in fleet.directory.active_workers("llm")]
             self.assertNotIn("w0", staying, "its row names no worker any more")
             self.assertIn("w2", staying)
 
--- a/tests/serving/test_slot_lending.py
+++ b/tests/serving/test_slot_lending.py
@@ -66,7 +66,7 @@
         for number in range(2):
             self.directory.put(worker_record(number, slots=SLOTS), 0.0)
         peers = [Peer("a", "zone-a"), Peer("b", "zone-a")]
-        dealt = partition_slots(peers, self.directory.of_service("llm"))
+        dealt = partition_slots(peers, self.directory.active_workers("llm"))
         chooser = self.directory.chooser
         chooser.slot_owners_by_service = {"llm": dealt}
         chooser.own_slots = {w: owners[name] for w, owners in dealt.items() if name in owners}
