--- a/tests/serving/test_forwarder.py
+++ b/tests/serving/test_forwarder.py
@@ -135,21 +135,23 @@
     async def _case(
         self, name: str, used: Route, first: Answer, others: Answer, status: int, received: int
     ) -> None:
-        async with ForwarderHarness(used, (first,), (others,), (others,)) as front:
-            front.fleet.directory.workers["w1"].in_flight = 1
-            front.fleet.directory.workers["w2"].in_flight = 1
-            found = await front.send_request()
+        async with ForwarderHarness(used, (first,), (others,), (others,)) as harness:
+            harness.fleet.directory.workers["w1"].in_flight = 1
+            harness.fleet.directory.workers["w2"].in_flight = 1
+            found = await harness.send_request()
             self.assertEqual(status, found[0], name)
-            self.assertEqual(received, len(front.fleet.received()), name)
-            self.assertEqual(len(set(front.fleet.received())), received, f"{name}: no worker twice")
+            self.assertEqual(received, len(harness.fleet.received()), name)
+            self.assertEqual(
+                len(set(harness.fleet.received())), received, f"{name}: no worker twice"
+            )
             if status == 503:
-                self.assertIn("Retry-After: ", front.last_head)
+                self.assertIn("Retry-After: ", harness.last_head)
 
     def test_each_dispatch_names_its_worker_and_what_time_is_left(self) -> None:
         async def scenario() -> None:
-            async with ForwarderHarness(ONCE, (whole(),)) as front:
-                await front.send_request()
-                received = front.workers[0].received[0]
+            async with ForwarderHarness(ONCE, (whole(),)) as harness:
+                await harness.send_request()
+                received = harness.workers[0].received[0]
                 self.assertEqual("w0", received.headers.get("expect-instance"))
                 self.assertEqual("r1", received.headers.get("request-id"))
                 left_ms = int(received.headers.get("deadline-ms") or 0)
@@ -160,11 +162,11 @@
 
     def test_unreachable_worker_costs_no_run(self) -> None:
         async def scenario() -> None:
-            async with ForwarderHarness(ONCE, (whole(),), (whole(),)) as front:
-                await front.workers[0].stop()
-                front.fleet.directory.workers["w1"].in_flight = 1
-                self.assertEqual(200, (await front.send_request())[0])
-                self.assertEqual(["w1"], front.fleet.received())
+            async with ForwarderHarness(ONCE, (whole(),), (whole(),)) as harness:
+                await harness.workers[0].stop()
+                harness.fleet.directory.workers["w1"].in_flight = 1
+                self.assertEqual(200, (await harness.send_request())[0])
+                self.assertEqual(["w1"], harness.fleet.received())
 
         run(scenario())
 
@@ -172,8 +174,8 @@
         """Found by a score: one lost connect on a lossy link refused the request."""
 
         async def scenario() -> None:
-            async with ForwarderHarness(ONCE, (whole(),)) as front:
-                acquire = front.fleet.connections.acquire
+            async with ForwarderHarness(ONCE, (whole(),)) as harness:
+                acquire = harness.fleet.connections.acquire
                 failures = iter([ConnectFailed("lost")])
 
                 async def lossy(*args: Any, **options: Any) -> ClientConnection:
@@ -181,18 +183,18 @@
                         raise failure
                     return await acquire(*args, **options)
 
-                front.fleet.connections.acquire = lossy  # type: ignore[method-assign]
-                self.assertEqual(200, (await front.send_request())[0])
-                line = front.fleet.log.lines("request_ended")[0]
+                harness.fleet.connections.acquire = lossy  # type: ignore[method-assign]
+                self.assertEqual(200, (await harness.send_request())[0])
+                line = harness.fleet.log.lines("request_ended")[0]
                 self.assertEqual("ok", line["outcome"])
 
         run(scenario())
 
     def test_no_worker_at_all_is_refused_at_once(self) -> None:
         async def scenario() -> None:
-            async with ForwarderHarness(ONCE) as front:
+            async with ForwarderHarness(ONCE) as harness:
                 began_s = asyncio.get_running_loop().time()
-                self.assertEqual(503, (await front.send_request())[0])
+                self.assertEqual(503, (await harness.send_request())[0])
                 self.assertLess(asyncio.get_running_loop().time() - began_s, 0.5)
 
         run(scenario())
@@ -203,15 +205,15 @@
 
     PROMPT = Prompt((PromptPart("aa", 100), PromptPart("bb", 400)))
 
-    def unread(self, front: ForwarderHarness) -> int:
-        return sum(worker.unread for worker in front.fleet.directory.workers.values())
+    def unread(self, harness: ForwarderHarness) -> int:
+        return sum(worker.unread for worker in harness.fleet.directory.workers.values())
 
     def test_until_the_first_event(self) -> None:
         async def scenario() -> None:
-            async with ForwarderHarness(PLAIN_STREAM, (stream(3, gap_s=0.3),)) as front:
-                front.prompt = self.PROMPT
-                asked = asyncio.create_task(front.send_request())
-                worker = front.fleet.directory.workers["w0"]
+            async with ForwarderHarness(PLAIN_STREAM, (stream(3, gap_s=0.3),)) as harness:
+                harness.prompt = self.PROMPT
+                asked = asyncio.create_task(harness.send_request())
+                worker = harness.fleet.directory.workers["w0"]
                 await eventually(
                     lambda: worker.last_contact_s > 0 and not worker.unread, "it begins"
                 )
@@ -222,22 +224,22 @@
 
     def test_while_the_worker_says_nothing(self) -> None:
         async def scenario() -> None:
-            async with ForwarderHarness(ONCE, (silence,)) as front:
-                front.prompt = self.PROMPT
-                front.deadline_s = 0.5
-                asked = asyncio.create_task(front.send_request())
-                await eventually(lambda: self.unread(front) == 500, "it waits")
+            async with ForwarderHarness(ONCE, (silence,)) as harness:
+                harness.prompt = self.PROMPT
+                harness.deadline_s = 0.5
+                asked = asyncio.create_task(harness.send_request())
+                await eventually(lambda: self.unread(harness) == 500, "it waits")
                 self.assertEqual(504, (await asked)[0])
-                self.assertEqual(0, self.unread(front))
+                self.assertEqual(0, self.unread(harness))
 
         run(scenario())
 
     def test_no_longer_than_the_attempt_that_failed(self) -> None:
         async def scenario() -> None:
-            async with ForwarderHarness(REPEATABLE, (reset,), (reset,)) as front:
-                front.prompt = self.PROMPT
-                await front.send_request()
-                self.assertEqual(0, self.unread(front))
+            async with ForwarderHarness(REPEATABLE, (reset,), (reset,)) as harness:
+                harness.prompt = self.PROMPT
+                await harness.send_request()
+                self.assertEqual(0, self.unread(harness))
 
         run(scenario())
 
@@ -245,26 +247,26 @@
 class FinalAnswers(TestCase):
     def test_request_that_outlasts_its_deadline_is_answered_then(self) -> None:
         async def scenario() -> None:
-            async with ForwarderHarness(ONCE, (silence,)) as front:
-                front.deadline_s = 0.3
+            async with ForwarderHarness(ONCE, (silence,)) as harness:
+                harness.deadline_s = 0.3
                 began_s = asyncio.get_running_loop().time()
-                status, _, _ = await front.send_request()
+                status, _, _ = await harness.send_request()
                 took_s = asyncio.get_running_loop().time() - began_s
                 self.assertEqual(504, status)
                 self.assertTrue(0.25 < took_s < 0.6, took_s)
-                received = front.workers[0].received[0]
+                received = harness.workers[0].received[0]
                 await eventually(received.caller_left.is_set, "the worker's stream is closed", 0.5)
 
         run(scenario())
 
     def test_worker_is_left_when_the_caller_leaves(self) -> None:
         async def scenario() -> None:
-            async with ForwarderHarness(ONCE, (silence,)) as front:
-                _, writer = await asyncio.open_connection("127.0.0.1", front.port)
+            async with ForwarderHarness(ONCE, (silence,)) as harness:
+                _, writer = await asyncio.open_connection("127.0.0.1", harness.port)
                 writer.write(f"GET /x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: r\r\n\r\n".encode())
-                await eventually(lambda: front.workers[0].received, "the worker has it")
+                await eventually(lambda: harness.workers[0].received, "the worker has it")
                 writer.close()
-                received = front.workers[0].received[0]
+                received = harness.workers[0].received[0]
                 await eventually(received.caller_left.is_set, "the worker is left", 0.5)
 
         run(scenario())
@@ -277,10 +279,10 @@
         self, used: Route, *scripts: tuple[Answer, ...]
     ) -> tuple[Any, ForwarderHarness]:
         async def scenario() -> tuple[Any, ForwarderHarness]:
-            async with ForwarderHarness(used, *scripts) as front:
-                for number in range(1, len(front.workers)):
-                    front.fleet.directory.workers[f"w{number}"].in_flight = number
-                return await front.send_request(), front
+            async with ForwarderHarness(used, *scripts) as harness:
+                for number in range(1, len(harness.workers)):
+                    harness.fleet.directory.workers[f"w{number}"].in_flight = number
+                return await harness.send_request(), harness
 
         return run(scenario())
 
@@ -289,37 +291,37 @@
         self.assertEqual((200, self.EXPECTED, True), found)
 
     def test_cut_stream_is_resumed_after_its_last_whole_event(self) -> None:
-        found, front = self.send_request(RESUMABLE, (stream(6, cut_after=3),), (stream(6),))
+        found, harness = self.send_request(RESUMABLE, (stream(6, cut_after=3),), (stream(6),))
         self.assertEqual((200, self.EXPECTED, True), found)
-        self.assertEqual(3, front.workers[1].received[0].resume_after)
-        self.assertIn("stamp-r1", front.last_head)
+        self.assertEqual(3, harness.workers[1].received[0].resume_after)
+        self.assertIn("stamp-r1", harness.last_head)
 
     def test_stalled_stream_is_resumed_elsewhere(self) -> None:
-        found, front = self.send_request(RESUMABLE, (stream(6, gap_s=2.0),), (stream(6),))
+        found, harness = self.send_request(RESUMABLE, (stream(6, gap_s=2.0),), (stream(6),))
         self.assertEqual((200, self.EXPECTED, True), found)
-        self.assertEqual(1, front.workers[1].received[0].resume_after)
+        self.assertEqual(1, harness.workers[1].received[0].resume_after)
 
     def test_cut_stream_that_may_not_be_resumed_does_not_look_whole(self) -> None:
-        found, front = self.send_request(PLAIN_STREAM, (stream(6, cut_after=3),), (stream(6),))
+        found, harness = self.send_request(PLAIN_STREAM, (stream(6, cut_after=3),), (stream(6),))
         status, body, complete = found
         self.assertEqual((200, False), (status, complete))
         self.assertEqual(b"".join(event(number) for number in range(1, 4)), body)
-        self.assertEqual([], front.workers[1].received)
+        self.assertEqual([], harness.workers[1].received)
 
     def test_attempts_bound_resumption(self) -> None:
         cut = stream(6, cut_after=0)
-        found, front = self.send_request(RESUMABLE, (cut,), (cut,), (cut,), (stream(6),))
+        found, harness = self.send_request(RESUMABLE, (cut,), (cut,), (cut,), (stream(6),))
         self.assertEqual(False, found[2])
-        self.assertEqual(3, len(front.fleet.received()))
+        self.assertEqual(3, len(harness.fleet.received()))
 
     def test_silent_unreachable_worker_is_left_for_another(self) -> None:
         async def scenario() -> None:
-            async with ForwarderHarness(RESUMABLE, (silence,), (stream(6),)) as front:
-                front.fleet.directory.workers["w1"].in_flight = 1
-                asking = asyncio.create_task(front.send_request())
-                await eventually(lambda: front.workers[0].received, "the worker has it")
-                assert front.workers[0]._server is not None
-                front.workers[0]._server.close()
+            async with ForwarderHarness(RESUMABLE, (silence,), (stream(6),)) as harness:
+                harness.fleet.directory.workers["w1"].in_flight = 1
+                asking = asyncio.create_task(harness.send_request())
+                await eventually(lambda: harness.workers[0].received, "the worker has it")
+                assert harness.workers[0]._server is not None
+                harness.workers[0]._server.close()
                 self.assertEqual((200, self.EXPECTED, True), await asking)
 
         run(scenario())
@@ -328,13 +330,13 @@
 class Telling(TestCase):
     def test_each_end_is_one_line_with_its_inputs(self) -> None:
         async def scenario() -> None:
-            async with ForwarderHarness(REPEATABLE, (reset,), (whole(),)) as front:
-                front.fleet.directory.workers["w1"].in_flight = 1
-                await front.send_request()
-                await eventually(lambda: front.fleet.log.lines("request_ended"), "it is told")
-                attempt = front.fleet.log.lines("attempt_failed")[0]
+            async with ForwarderHarness(REPEATABLE, (reset,), (whole(),)) as harness:
+                harness.fleet.directory.workers["w1"].in_flight = 1
+                await harness.send_request()
+                await eventually(lambda: harness.fleet.log.lines("request_ended"), "it is told")
+                attempt = harness.fleet.log.lines("attempt_failed")[0]
                 self.assertEqual(("r1", "w0", "may have run"), pick(attempt))
-                ended = front.fleet.log.lines("request_ended")[0]
+                ended = harness.fleet.log.lines("request_ended")[0]
                 self.assertEqual(("r1", "w1", 200), (*pick(ended)[:2], ended["status"]))
 
         run(scenario())
@@ -354,10 +356,10 @@
         """Return what is counted at a worker right after a request, and after the usual time."""
 
         async def scenario() -> list[int]:
-            async with ForwarderHarness(used, script) as front:
-                front.fleet.directory.chooser.durations.observe("llm", self.USUAL_S)
-                await front.send_request()
-                worker = front.fleet.directory.workers["w0"]
+            async with ForwarderHarness(used, script) as harness:
+                harness.fleet.directory.chooser.durations.observe("llm", self.USUAL_S)
+                await harness.send_request()
+                worker = harness.fleet.directory.workers["w0"]
                 counted = [worker.in_flight]
                 await asyncio.sleep(self.USUAL_S + 0.1)
                 return [*counted, worker.in_flight]
@@ -379,10 +381,10 @@
 
     def test_failures_do_not_change_how_long_requests_usually_take(self) -> None:
         async def scenario() -> float:
-            async with ForwarderHarness(ONCE, (BAD,)) as front:
-                durations = front.fleet.directory.chooser.durations
+            async with ForwarderHarness(ONCE, (BAD,)) as harness:
+                durations = harness.fleet.directory.chooser.durations
                 durations.observe("llm", self.USUAL_S)
-                await front.send_request()
+                await harness.send_request()
                 return durations.average_s("llm")
 
         self.assertEqual(self.USUAL_S, run(scenario()))
@@ -390,14 +392,14 @@
     def test_a_failing_worker_gets_no_more_than_its_share(self) -> None:
         async def scenario() -> int:
             good = stream(4, gap_s=0.1)
-            async with ForwarderHarness(PLAIN_STREAM, (BAD,), (good,), (good,), (good,)) as front:
-                front.fleet.directory.chooser.durations.observe("llm", 0.4)
+            async with ForwarderHarness(PLAIN_STREAM, (BAD,), (good,), (good,), (good,)) as harness:
+                harness.fleet.directory.chooser.durations.observe("llm", 0.4)
                 asked = []
                 for number in range(24):
-                    asked.append(asyncio.create_task(front.send_request(f"r{number}")))
+                    asked.append(asyncio.create_task(harness.send_request(f"r{number}")))
                     await asyncio.sleep(0.02)
                 await asyncio.gather(*asked)
-                return front.fleet.received().count("w0")
+                return harness.fleet.received().count("w0")
 
         self.assertLessEqual(run(scenario()), 9)
 
@@ -407,19 +409,19 @@
 
     def test_what_a_cold_worker_does_not_bear_goes_to_another_or_is_refused(self) -> None:
         async def body() -> None:
-            async with ForwarderHarness(REPEATABLE, (whole(),)) as front:
-                fleet = front.fleet
+            async with ForwarderHarness(REPEATABLE, (whole(),)) as harness:
+                fleet = harness.fleet
                 standing = Standing("test")
                 standing.use(["test"], ["test"])
                 sends = ColdSends(standing, ColdTolerance(), float("-inf"), lambda: True)
                 now_s = asyncio.get_running_loop().time()
                 fleet.directory.use_cold_starts({"llm": ColdStart(5.0, 2.0)}, sends, now_s)
                 fleet.directory.workers["w0"].assume_restarted(now_s)
-                statuses = [(await front.send_request(f"r{n}"))[0] for n in range(2)]
-                front.deadline_s = 0.6
-                statuses.append((await front.send_request("r2"))[0])
+                statuses = [(await harness.send_request(f"r{n}"))[0] for n in range(2)]
+                harness.deadline_s = 0.6
+                statuses.append((await harness.send_request("r2"))[0])
                 self.assertEqual([200, 200, 503], statuses)
-                self.assertIn("retry-after", front.last_head.lower())
+                self.assertIn("retry-after", harness.last_head.lower())
                 self.assertEqual(2, len(fleet.received()), "refused: not run")
 
         run(body())
--- a/tests/serving/test_held_back.py
+++ b/tests/serving/test_held_back.py
@@ -23,12 +23,12 @@
 ROUTES = (ONCE, REPEATABLE, PLAIN_STREAM, RESUMABLE)
 
 
-def block(front: ForwarderHarness) -> None:
+def block(harness: ForwarderHarness) -> None:
     """Let three workers have ended under the request that ``Front.send_request`` sends."""
     now_s = asyncio.get_running_loop().time()
     for key in (1, 2, 3):
         at_s = now_s - 3 + key
-        front.fleet.quarantine._sharing.note_worker_crash(
+        harness.fleet.quarantine._sharing.note_worker_crash(
             key, at_s, {ANY_TRY.content_key: at_s}, now_s
         )
 
@@ -52,68 +52,68 @@
 class HeldBack(TestCase):
     def with_front(self, used: Route, body: Any, *scripts: tuple[Answer, ...]) -> None:
         async def scenario() -> None:
-            async with ForwarderHarness(used, *(scripts or ((whole(),),))) as front:
-                await body(front)
+            async with ForwarderHarness(used, *(scripts or ((whole(),),))) as harness:
+                await body(harness)
 
         run(scenario())
 
     def test_refused_at_once_with_the_time_of_its_next_trial(self) -> None:
-        async def body(front: ForwarderHarness) -> None:
-            block(front)
-            status, _, complete = await front.send_request("r1")
+        async def body(harness: ForwarderHarness) -> None:
+            block(harness)
+            status, _, complete = await harness.send_request("r1")
             self.assertEqual((503, True), (status, complete))
-            self.assertRegex(front.last_head.lower(), r"retry-after: (600|59\d\.)")
-            self.assertEqual([], front.fleet.received())
-            (line,) = front.fleet.log.lines("request_held_back")
+            self.assertRegex(harness.last_head.lower(), r"retry-after: (600|59\d\.)")
+            self.assertEqual([], harness.fleet.received())
+            (line,) = harness.fleet.log.lines("request_held_back")
             self.assertEqual(("r1", 0), (line["request"], line["runs"]))
 
         for used in ROUTES:
             self.with_front(used, body)
 
     def test_other_contents_are_served(self) -> None:
-        async def body(front: ForwarderHarness) -> None:
-            block(front)
+        async def body(harness: ForwarderHarness) -> None:
+            block(harness)
             other = Call("r", HOST, "POST", "/x", (), b"else")
-            self.assertEqual(0.0, front.fleet.quarantine.blocked_for_s(other))
+            self.assertEqual(0.0, harness.fleet.quarantine.blocked_for_s(other))
             other_caller = Call("r", HOST, "POST", "/x", (), b"body", tenant="t")
-            self.assertEqual(0.0, front.fleet.quarantine.blocked_for_s(other_caller))
+            self.assertEqual(0.0, harness.fleet.quarantine.blocked_for_s(other_caller))
 
         self.with_front(REPEATABLE, body)
 
     def test_one_that_waits_for_a_worker_is_refused_as_it_becomes_blocked(self) -> None:
-        async def body(front: ForwarderHarness) -> None:
-            front.fleet.quarantine.on_blocked = front.fleet.queue.reject
-            worker = front.fleet.directory.workers["w0"]
+        async def body(harness: ForwarderHarness) -> None:
+            harness.fleet.quarantine.on_blocked = harness.fleet.queue.reject
+            worker = harness.fleet.directory.workers["w0"]
             worker.in_flight = 4
-            asking = asyncio.create_task(front.send_request("r1"))
-            await eventually(lambda: front.fleet.queue.has_local_waiting("llm"), "it waits")
-            block(front)
+            asking = asyncio.create_task(harness.send_request("r1"))
+            await eventually(lambda: harness.fleet.queue.has_local_waiting("llm"), "it waits")
+            block(harness)
             status, _, _ = await asyncio.wait_for(asking, 0.3)
             self.assertEqual(503, status)
             self.assertEqual(4, worker.in_flight)
-            self.assertEqual([], front.fleet.received())
+            self.assertEqual([], harness.fleet.received())
 
         self.with_front(route(RequestKind.REPEATABLE, target_latency_s=2.0), body)
 
     def test_one_that_ran_before_it_was_blocked_is_not_called_refused(self) -> None:
-        async def body(front: ForwarderHarness) -> None:
-            asking = asyncio.create_task(front.send_request("r1"))
-            await eventually(lambda: len(front.fleet.received()) == 1, "it runs")
-            block(front)
-            for writer in list(front.workers[0]._writers | front.workers[1]._writers):
+        async def body(harness: ForwarderHarness) -> None:
+            asking = asyncio.create_task(harness.send_request("r1"))
+            await eventually(lambda: len(harness.fleet.received()) == 1, "it runs")
+            block(harness)
+            for writer in list(harness.workers[0]._writers | harness.workers[1]._writers):
                 writer.transport.abort()
             status, _, _ = await asking
             self.assertEqual(502, status)
-            self.assertEqual(1, len(front.fleet.received()))
+            self.assertEqual(1, len(harness.fleet.received()))
 
         self.with_front(REPEATABLE, body, (silence,), (silence,))
 
     def test_a_slot_that_it_was_given_is_free_again(self) -> None:
-        async def body(front: ForwarderHarness) -> None:
-            block(front)
-            worker = front.fleet.directory.workers["w0"]
+        async def body(harness: ForwarderHarness) -> None:
+            block(harness)
+            worker = harness.fleet.directory.workers["w0"]
             for _ in range(5):
-                await front.send_request("r1")
+                await harness.send_request("r1")
             self.assertEqual(0, worker.in_flight)
 
         self.with_front(ONCE, body)
@@ -122,9 +122,9 @@
 class Crashes(TestCase):
     def test_the_end_of_a_worker_is_seen_on_each_kind_of_route(self) -> None:
         async def scenario(used: Route) -> None:
-            async with CrashingFront(used, (whole(),), (whole(),), (whole(),)) as front:
-                suspects = front.fleet.quarantine.suspects
-                await front.send_request("r1")
+            async with CrashingFront(used, (whole(),), (whole(),), (whole(),)) as harness:
+                suspects = harness.fleet.quarantine.suspects
+                await harness.send_request("r1")
                 expected = min(used.max_attempts, 3) if used.repeatable else 1
                 key = ANY_TRY.content_key
                 await eventually(
@@ -134,7 +134,7 @@
                     ),
                     f"{expected} ends on {used.name}",
                 )
-                blocked = front.fleet.quarantine.blocked_for_s(ANY_TRY) > 0
+                blocked = harness.fleet.quarantine.blocked_for_s(ANY_TRY) > 0
                 self.assertEqual(expected >= 3, blocked, used.name)
 
         for used in ROUTES:
@@ -143,17 +143,17 @@
     def test_a_stream_beside_one_goes_on_elsewhere_and_is_cleared(self) -> None:
         async def scenario() -> None:
             scripts = ((stream(8, gap_s=0.05),),) * 2
-            async with CrashingFront(RESUMABLE, *scripts) as front:
-                front.crash = False
-                asking = asyncio.create_task(front.send_request("r1"))
-                await eventually(lambda: front.fleet.received(), "it runs")
-                first = next(worker for worker in front.workers if worker.received)
+            async with CrashingFront(RESUMABLE, *scripts) as harness:
+                harness.crash = False
+                asking = asyncio.create_task(harness.send_request("r1"))
+                await eventually(lambda: harness.fleet.received(), "it runs")
+                first = next(worker for worker in harness.workers if worker.received)
                 await asyncio.sleep(0.12)
                 await first.stop()
                 status, got, complete = await asking
                 self.assertEqual((200, True), (status, complete))
                 self.assertEqual(b"".join(event(n) for n in range(1, 9)), got)
-                suspect = front.fleet.quarantine.suspects.by_content.get(ANY_TRY.content_key)
+                suspect = harness.fleet.quarantine.suspects.by_content.get(ANY_TRY.content_key)
                 self.assertEqual({}, suspect.crash_by_worker if suspect else {})
 
         run(scenario())
@@ -162,16 +162,16 @@
         """Its machine refuses new connections, while the old one never says anything."""
 
         async def scenario() -> None:
-            async with ForwarderHarness(REPEATABLE, (silence,), (silence,)) as front:
-                front.deadline_s = 2.5
-                asking = asyncio.create_task(front.send_request("r1"))
-                await eventually(lambda: front.fleet.received(), "it runs")
-                first = next(worker for worker in front.workers if worker.received)
+            async with ForwarderHarness(REPEATABLE, (silence,), (silence,)) as harness:
+                harness.deadline_s = 2.5
+                asking = asyncio.create_task(harness.send_request("r1"))
+                await eventually(lambda: harness.fleet.received(), "it runs")
+                first = next(worker for worker in harness.workers if worker.received)
                 assert first._server is not None
                 first._server.close()
-                await eventually(lambda: front.fleet.quarantine.suspects, "its end is seen")
+                await eventually(lambda: harness.fleet.quarantine.suspects, "its end is seen")
                 asking.cancel()
-                suspect = front.fleet.quarantine.suspects.by_content[ANY_TRY.content_key]
+                suspect = harness.fleet.quarantine.suspects.by_content[ANY_TRY.content_key]
                 self.assertEqual(1, len(suspect.crash_by_worker))
 
         run(scenario())
@@ -179,10 +179,10 @@
     def test_breaks_of_links_are_no_ends(self) -> None:
         async def scenario() -> None:
             script = (stream(5, cut_after=1),)
-            async with ForwarderHarness(RESUMABLE, script, script, script) as front:
-                await front.send_request("r1")
+            async with ForwarderHarness(RESUMABLE, script, script, script) as harness:
+                await harness.send_request("r1")
                 await asyncio.sleep(0.5)
-                self.assertFalse(front.fleet.quarantine.suspects)
+                self.assertFalse(harness.fleet.quarantine.suspects)
 
         run(scenario())
 
@@ -190,8 +190,8 @@
 class Separation(TestCase):
     def test_two_strong_suspects_do_not_meet_at_a_worker(self) -> None:
         async def scenario() -> None:
-            async with ForwarderHarness(REPEATABLE, (whole(),), (whole(),)) as front:
-                fleet = front.fleet
+            async with ForwarderHarness(REPEATABLE, (whole(),), (whole(),)) as harness:
+                fleet = harness.fleet
                 other = Call("r", HOST, "POST", "/x", (), b"else")
                 now_s = asyncio.get_running_loop().time()
                 sent_at_s = {ANY_TRY.content_key: now_s, other.content_key: now_s}
@@ -207,7 +207,7 @@
                     with fleet.quarantine.running(other, worker):
                         self.assertFalse(fleet.quarantine.allows(ANY_TRY, worker))
                         self.assertTrue(fleet.quarantine.allows(other, worker))
-                self.assertEqual(200, (await front.send_request())[0])
+                self.assertEqual(200, (await harness.send_request())[0])
                 names = [worker.record.worker_id for worker in kept]
                 self.assertTrue(len(kept) == 2 or fleet.received()[0] not in names)
 
--- a/tests/serving/test_rest_limit.py
+++ b/tests/serving/test_rest_limit.py
@@ -55,12 +55,12 @@
 class AtMostOnce(TestCase):
     def test_only_the_first_request_meets_a_forgotten_connection(self) -> None:
         async def scenario() -> None:
-            async with ForwarderHarness(route(RequestKind.AT_MOST_ONCE), (forgetful(),)) as front:
+            async with ForwarderHarness(route(RequestKind.AT_MOST_ONCE), (forgetful(),)) as harness:
                 statuses = []
                 for i in range(5):
-                    worker = next(iter(front.fleet.directory.workers.values()))
+                    worker = next(iter(harness.fleet.directory.workers.values()))
                     worker.last_contact_s = asyncio.get_running_loop().time()
-                    statuses.append((await front.send_request(f"r{i}"))[0])
+                    statuses.append((await harness.send_request(f"r{i}"))[0])
                     await asyncio.sleep(FORGET_AFTER_S + 0.1)
                 self.assertEqual([200, 502, 200, 200, 200], statuses)
 
--- a/tests/serving/test_suspended.py
+++ b/tests/serving/test_suspended.py
@@ -66,33 +66,35 @@
     def test_a_request_whose_time_is_over_reaches_no_worker(self) -> None:
         async def work(machine: SuspendedMachine) -> list[int]:
             waiting_long = route(RequestKind.REPEATABLE, target_latency_s=2.0)
-            async with ForwarderHarness(waiting_long, (whole(),)) as front:
-                worker = front.fleet.directory.workers["w0"]
+            async with ForwarderHarness(waiting_long, (whole(),)) as harness:
+                worker = harness.fleet.directory.workers["w0"]
                 worker.in_flight = 4
-                asking = asyncio.create_task(front.send_request("r1"))
-                await eventually(lambda: front.fleet.queue.has_local_waiting("llm"), "it waits")
+                asking = asyncio.create_task(harness.send_request("r1"))
+                await eventually(lambda: harness.fleet.queue.has_local_waiting("llm"), "it waits")
                 machine.suspend(SLEEP_S)
                 await asyncio.sleep(0)
                 worker.in_flight = 0
-                front.fleet.queue.tick(asyncio.get_running_loop().time())
+                harness.fleet.queue.tick(asyncio.get_running_loop().time())
                 await asking
-                return [len(front.fleet.received())]
+                return [len(harness.fleet.received())]
 
         self.check(work, slept=[0], unnoticed=[1])
 
     def test_workers_are_told_the_time_that_is_left(self) -> None:
         async def work(machine: SuspendedMachine) -> bool:
-            async with ForwarderHarness(REPEATABLE, (silence,), (silence,)) as front:
-                front.deadline_s = 10.0
-                asking = asyncio.create_task(front.send_request("r1"))
-                await eventually(lambda: front.fleet.received(), "it runs")
+            async with ForwarderHarness(REPEATABLE, (silence,), (silence,)) as harness:
+                harness.deadline_s = 10.0
+                asking = asyncio.create_task(harness.send_request("r1"))
+                await eventually(lambda: harness.fleet.received(), "it runs")
                 machine.suspend(5.0)
-                for worker in front.workers:
+                for worker in harness.workers:
                     for writer in list(worker._writers):
                         writer.transport.abort()
-                await eventually(lambda: len(front.fleet.received()) == 2 or asking.done(), "again")
+                await eventually(
+                    lambda: len(harness.fleet.received()) == 2 or asking.done(), "again"
+                )
                 asking.cancel()
-                got = [r for worker in front.workers for r in worker.received]
+                got = [r for worker in harness.workers for r in worker.received]
                 left_ms = [int(r.headers.get("deadline-ms") or 0) for r in got]
                 return min(left_ms) <= 5500
 
@@ -100,21 +102,21 @@
 
     def test_a_block_that_is_over_is_over(self) -> None:
         async def work(machine: SuspendedMachine) -> bool:
-            async with ForwarderHarness(REPEATABLE, (whole(),)) as front:
-                block(front)
+            async with ForwarderHarness(REPEATABLE, (whole(),)) as harness:
+                block(harness)
                 machine.suspend(INITIAL_BLOCK_S)
-                return front.fleet.quarantine.blocked_for_s(ANY_TRY) == 0
+                return harness.fleet.quarantine.blocked_for_s(ANY_TRY) == 0
 
         self.check(work, slept=True, unnoticed=False)
 
     def test_a_worker_that_was_just_heard_from_has_not_been(self) -> None:
         async def work(machine: SuspendedMachine) -> int:
             once = route(RequestKind.AT_MOST_ONCE)
-            async with ForwarderHarness(once, (whole(),)) as front:
-                await front.send_request("r1")
+            async with ForwarderHarness(once, (whole(),)) as harness:
+                await harness.send_request("r1")
                 machine.suspend(5.0)
-                await front.send_request("r2")
-                return front.workers[0].connections
+                await harness.send_request("r2")
+                return harness.workers[0].connections
 
         self.check(work, slept=2, unnoticed=1)
 
