--- a/mountstand/serving/batch_room.py
+++ b/mountstand/serving/batch_room.py
@@ -175,7 +175,7 @@
                 placement
                 for placements in self._placements.values()
                 for placement in placements
-                if self._directory.holds(service, placement.worker)
+                if self._directory.pool_contains(service, placement.worker)
             ]
         )
 
--- a/mountstand/serving/workers.py
+++ b/mountstand/serving/workers.py
@@ -119,7 +119,7 @@
             self._index = None
         return name
 
-    def holds(self, pool: str, worker: Worker) -> bool:
+    def pool_contains(self, pool: str, worker: Worker) -> bool:
         """Return whether a pool or service has a worker."""
         found = self._pool_by_name.get(pool)
         if found is None:
@@ -129,7 +129,7 @@
 
     def pools_of(self, worker: Worker) -> list[str]:
         """Return the names of all pools that a worker is in, its service's first."""
-        pools = [name for name in self._pool_by_name if self.holds(name, worker)]
+        pools = [name for name in self._pool_by_name if self.pool_contains(name, worker)]
         return [worker.record.service, *pools]
 
     @property
@@ -137,7 +137,7 @@
         """The services that have workers, and the pools that requests asked for."""
         return [*self.services, *self._pool_by_name]
 
-    def evacuate(self, zones: Collection[str], now_s: float) -> list[Worker]:
+    def set_evacuated_zones(self, zones: Collection[str], now_s: float) -> list[Worker]:
         """Use the workers of these zones no more, and those of all others; return the new ones.
 
         Workers of a zone that is used again may have started anew meanwhile.
@@ -155,7 +155,7 @@
         self._index = None
         return newly
 
-    def use_cold_starts(
+    def set_cold_start_limits(
         self, cold_by_service: Mapping[str, ColdStart], sends: ColdSends, now_s: float
     ) -> None:
         """Send workers of these services no more than they bear while they are cold."""
@@ -176,7 +176,7 @@
         else:
             worker.cold.cold = cold
 
-    def judge_health(self, now_s: float) -> list[Worker]:
+    def eject_failing_workers(self, now_s: float) -> list[Worker]:
         """Eject workers that fail far more often than others; returns the new ones."""
         newly: list[Worker] = []
         for service in self.services:
@@ -303,7 +303,9 @@
         if self._index is None:
             self._index = _WorkerIndex(self.workers.values())
             for name in self._pool_by_name:
-                held = [worker for worker in self.workers.values() if self.holds(name, worker)]
+                held = [
+                    worker for worker in self.workers.values() if self.pool_contains(name, worker)
+                ]
                 self._index.add_pool(name, held)
         return self._index
 
--- a/mountstand/serving_periodic.py
+++ b/mountstand/serving_periodic.py
@@ -60,7 +60,7 @@
         while True:
             await asyncio.sleep(self._load_sharing.period_s)
             self._load_sharing.tick(loop.time())
-            for worker in self._directory.judge_health(loop.time()):
+            for worker in self._directory.eject_failing_workers(loop.time()):
                 self._log_ejection(worker)
             self._queue.tick(loop.time(), self._load_sharing.hops)
             self._batch_scheduler.tick(loop.time(), self._load_sharing.hops)
--- a/mountstand/serving_zones.py
+++ b/mountstand/serving_zones.py
@@ -66,7 +66,7 @@
         """Take what the workers of each service bear after a start."""
         cold = {each.name: each.cold for each in configuration.services.values() if each.cold}
         now_s = asyncio.get_running_loop().time()
-        self._directory.use_cold_starts(cold, self._cold_sends, now_s)
+        self._directory.set_cold_start_limits(cold, self._cold_sends, now_s)
 
     def use_tolerance(self, tolerance: ColdTolerance) -> None:
         """Keep the bound of cold workers as exactly as this from now on."""
@@ -78,7 +78,7 @@
 
     def _use_evacuations(self, zones: frozenset[str]) -> None:
         """Send nothing more to workers of evacuated zones, and name their daemons to nobody."""
-        left = self._directory.evacuate(zones, asyncio.get_running_loop().time())
+        left = self._directory.set_evacuated_zones(zones, asyncio.get_running_loop().time())
         self._load_sharing.use_evacuations(zones)
         self._metrics.zones_evacuated(len(zones))
         if left:
--- a/tests/serving/test_evacuation.py
+++ b/tests/serving/test_evacuation.py
@@ -85,34 +85,34 @@
         return {worker.record.zone for worker in found if worker is not None}
 
     def test_an_evacuated_zone_gets_nothing_while_others_serve(self) -> None:
-        newly = self.directory.evacuate({"b"}, 10.0)
+        newly = self.directory.set_evacuated_zones({"b"}, 10.0)
         self.assertEqual(3, len(newly))
         self.assertEqual({"a"}, self.chosen(10.0))
         self.assertEqual(12, self.directory.slots())
-        self.assertEqual([], self.directory.evacuate({"b"}, 11.0), "nothing new")
+        self.assertEqual([], self.directory.set_evacuated_zones({"b"}, 11.0), "nothing new")
 
     def test_a_worker_that_starts_in_an_evacuated_zone_gets_nothing(self) -> None:
-        self.directory.evacuate({"b"}, 10.0)
+        self.directory.set_evacuated_zones({"b"}, 10.0)
         self.directory.put(record(7, "b"), 10.5)
         self.assertEqual({"a"}, self.chosen(10.5))
 
     def test_where_no_other_worker_is_left_it_serves_for_a_moment_only(self) -> None:
-        self.directory.evacuate({"a", "b"}, 10.0)
+        self.directory.set_evacuated_zones({"a", "b"}, 10.0)
         self.assertEqual({"a", "b"}, self.chosen(10.9))
         self.assertEqual(set(), self.chosen(11.1))
 
     def test_it_is_used_again_once_the_evacuation_is_taken_back(self) -> None:
-        self.directory.evacuate({"b"}, 10.0)
-        self.directory.evacuate(set(), 20.0)
+        self.directory.set_evacuated_zones({"b"}, 10.0)
+        self.directory.set_evacuated_zones(set(), 20.0)
         self.assertEqual({"a", "b"}, self.chosen(20.0))
 
     def test_workers_that_come_back_are_taken_as_cold(self) -> None:
         standing = Standing("d1")
         standing.use(["d1"], ["d1"])
         sends = ColdSends(standing, ColdTolerance(), 0.0, lambda: True)
-        self.directory.use_cold_starts({"llm": ColdStart(3.0, 2.0)}, sends, 0.0)
-        self.directory.evacuate({"b"}, 10.0)
-        self.directory.evacuate(set(), 20.0)
+        self.directory.set_cold_start_limits({"llm": ColdStart(3.0, 2.0)}, sends, 0.0)
+        self.directory.set_evacuated_zones({"b"}, 10.0)
+        self.directory.set_evacuated_zones(set(), 20.0)
         worker = self.directory.workers["w1"]
         self.assertEqual([True, True, False], [worker.admit_send(20.0) for _ in range(3)])
         self.assertTrue(worker.admit_send(23.1), "warm again")
--- a/tests/serving/test_forwarder.py
+++ b/tests/serving/test_forwarder.py
@@ -415,7 +415,7 @@
                 standing.use(["test"], ["test"])
                 sends = ColdSends(standing, ColdTolerance(), float("-inf"), lambda: True)
                 now_s = asyncio.get_running_loop().time()
-                fleet.directory.use_cold_starts({"llm": ColdStart(5.0, 2.0)}, sends, now_s)
+                fleet.directory.set_cold_start_limits({"llm": ColdStart(5.0, 2.0)}, sends, now_s)
                 fleet.directory.workers["w0"].assume_restarted(now_s)
                 statuses = [(await harness.send_request(f"r{n}"))[0] for n in range(2)]
                 harness.deadline_s = 0.6
--- a/tests/serving/test_residency.py
+++ b/tests/serving/test_residency.py
@@ -102,7 +102,7 @@
     def test_workers_that_come_later_belong_to_the_pool(self) -> None:
         self.directory.put(record(9, "s1"), 1.0)
         self.assertEqual(2, len(self.directory.active_workers(self.south)))
-        self.directory.evacuate({"s1"}, 2.0)
+        self.directory.set_evacuated_zones({"s1"}, 2.0)
         self.assertEqual([], self.directory.active_workers(self.south))
 
     def test_a_freed_slot_goes_to_a_request_that_may_use_it(self) -> None:
--- a/tests/serving/test_worker_health.py
+++ b/tests/serving/test_worker_health.py
@@ -76,7 +76,7 @@
         zeros = (0, 0, 0)
         digest = LoadDigest(self.keys, zeros, zeros, (40, 40, 20), (0, 0, 20))
         self.sharing.handle("peer", digest, 1.0)
-        self.assertEqual(1, len(self.directory.judge_health(1.0)))
+        self.assertEqual(1, len(self.directory.eject_failing_workers(1.0)))
         self.assertEqual({"w0", "w1"}, self.chosen(1.0))
         self.assertEqual({"w0", "w1", "w2"}, self.chosen(9.0))
 
