--- a/mountstand/serving/feeds.py
+++ b/mountstand/serving/feeds.py
@@ -17,7 +17,7 @@
 from mountstand.store.watch import TableChange
 from mountstand.telemetry.decisions import DecisionLog
 
-UNREADABLE = (ValueError, KeyError, TypeError, AttributeError)
+DECODE_ERRORS = (ValueError, KeyError, TypeError, AttributeError)
 
 
 class ConfigurationSource(Protocol):
@@ -31,7 +31,7 @@
         """Return the configuration that a row holds."""
 
     def decode_worker(self, row: StoredRow) -> WorkerRecord:
-        """Return the worker that a row describes. Raises what ``UNREADABLE`` lists."""
+        """Return the worker that a row describes. Raises what ``DECODE_ERRORS`` lists."""
 
     def evacuated_zone(self, key: str) -> str | None:
         """Return the zone that a row of the configuration's table evacuates, if any."""
@@ -66,7 +66,7 @@
         self._row_version = row_version
         try:
             configuration = self._source.decode_configuration(value)
-        except UNREADABLE as problem:
+        except DECODE_ERRORS as problem:
             self._log.event(
                 "configuration_unreadable", row_version=row_version, cause=repr(problem)
             )
@@ -81,7 +81,7 @@
         )
 
 
-class WorkersState:
+class WorkerDirectorySync:
     """Keeps a worker directory as the platform lists it."""
 
     def __init__(
@@ -120,7 +120,7 @@
     def _decode(self, row: StoredRow) -> WorkerRecord | None:
         try:
             return self._source.decode_worker(row)
-        except UNREADABLE as problem:
+        except DECODE_ERRORS as problem:
             self._log.event(
                 "worker_unreadable", worker=row.key.key, version=row.version, cause=repr(problem)
             )
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -25,7 +25,7 @@
 from mountstand.serving.batch_room import BatchScheduler
 from mountstand.serving.configuration import Configuration, ShareChooser
 from mountstand.serving.connections import WorkerConnections
-from mountstand.serving.feeds import ConfigurationSource, ConfigurationState, WorkersState
+from mountstand.serving.feeds import ConfigurationSource, ConfigurationState, WorkerDirectorySync
 from mountstand.serving.forwarder import Forwarder
 from mountstand.serving.load_groups import Peer
 from mountstand.serving.load_sharing import LoadSharing
@@ -204,7 +204,7 @@
             self.quarantine.suspects, store, self._store_now_ms, log
         )
         self.quarantine.attach_store(self._stored_suspects)
-        workers_state = WorkersState(source, self.directory, log)
+        workers_state = WorkerDirectorySync(source, self.directory, log)
         self.feeds = ServingFeeds(
             store,
             source,
--- a/tests/contract/test_untrusted_input.py
+++ b/tests/contract/test_untrusted_input.py
@@ -18,7 +18,7 @@
 from mountstand.platform.operator_rows import decode_configuration, decode_worker
 from mountstand.platform.worker_protocol import PlatformWorkerProtocol, parse_prompt
 from mountstand.serving.events import EventSplitter
-from mountstand.serving.feeds import UNREADABLE
+from mountstand.serving.feeds import DECODE_ERRORS
 from mountstand.serving.load_groups import Peer
 from mountstand.serving.load_sharing import LoadSharing
 from mountstand.serving.workers import WorkerDirectory
@@ -72,7 +72,7 @@
         for decode in (lambda: decode_configuration(value), lambda: decode_worker(row)):
             try:
                 decode()
-            except UNREADABLE:
+            except DECODE_ERRORS:
                 continue
 
     @SAME_EACH_RUN
--- a/tests/serving/test_feeds.py
+++ b/tests/serving/test_feeds.py
@@ -6,7 +6,7 @@
 from testtools import TestCase
 
 from mountstand.platform.__main__ import PlatformRows
-from mountstand.serving.feeds import ConfigurationState, WorkersState
+from mountstand.serving.feeds import ConfigurationState, WorkerDirectorySync
 from mountstand.store.rows import RowKey, StoredRow
 from mountstand.store.watch import TableChange
 from tests.stand_ins.harness import Fleet, LineLog, run
@@ -49,7 +49,7 @@
     def test_strange_row_does_not_hide_the_others(self) -> None:
         async def scenario() -> None:
             fleet = Fleet()
-            state = WorkersState(PlatformRows(), fleet.directory, fleet.log)
+            state = WorkerDirectorySync(PlatformRows(), fleet.directory, fleet.log)
             strange = row("servers", "w1", 2, {"service": "llm"})
             state.apply(TableChange([worker_row("w0", 1), strange, worker_row("w2", 3)], True))
             self.assertEqual({"w0", "w2"}, set(fleet.directory.workers))
--- a/tests/unit/test_worker_rows.py
+++ b/tests/unit/test_worker_rows.py
@@ -9,7 +9,7 @@
 
 from mountstand.platform.operator_rows import decode_configuration, decode_worker, evacuated_zone
 from mountstand.serving.cold_workers import ColdStart
-from mountstand.serving.feeds import UNREADABLE
+from mountstand.serving.feeds import DECODE_ERRORS
 from mountstand.store.rows import RowKey, StoredRow
 
 GOOD: dict[str, Any] = {
@@ -73,7 +73,7 @@
     def assert_unreadable(self, value: bytes) -> None:
         try:
             decode_worker(row(value))
-        except UNREADABLE:
+        except DECODE_ERRORS:
             return
         self.fail(f"was read: {value!r}")
 
