--- a/mountstand/serving/load_sharing.py
+++ b/mountstand/serving/load_sharing.py
@@ -247,7 +247,7 @@
             outcomes = worker.health.own
             if not (worker.in_flight or outcomes.counted_at_s):
                 continue
-            outcomes.age(now_s)
+            outcomes.decay(now_s)
             counts = LoadCounts(
                 worker.in_flight - worker.batch_in_flight,
                 worker.batch_in_flight,
--- a/mountstand/serving/worker_health.py
+++ b/mountstand/serving/worker_health.py
@@ -48,14 +48,14 @@
 
     def add(self, now_s: float, *, failed: bool) -> None:
         """Count one outcome."""
-        self.age(now_s)
+        self.decay(now_s)
         self.counted_at_s = now_s
         if failed:
             self.failed += 1
         else:
             self.succeeded += 1
 
-    def age(self, now_s: float) -> None:
+    def decay(self, now_s: float) -> None:
         """Let the counts fade to what they are worth now, and to nothing in the end."""
         if not self.any:
             self.succeeded = self.failed = self.counted_at_s = 0.0
@@ -112,7 +112,7 @@
     if not failing:
         return []
     for health in failing:
-        health.own.age(now_s)
+        health.own.decay(now_s)
     ejected = sum(health.is_ejected(now_s) for health in workers)
     faultless = [0.0] * (len(workers) - len(failing))
     usual = median_low([health.failure_rate for health in failing] + faultless)
--- a/tests/serving/test_worker_health.py
+++ b/tests/serving/test_worker_health.py
@@ -51,7 +51,7 @@
         first_s = health.ejection_s
         health.eject(first_s + 1)
         self.assertEqual(2 * first_s, health.ejection_s)
-        health.own.age(60.0)
+        health.own.decay(60.0)
         self.assertEqual(0.0, health.failure_rate)
         health.eject(100.0)
         self.assertEqual(first_s, health.ejection_s)
