--- a/mountstand/jobs/item_execution.py
+++ b/mountstand/jobs/item_execution.py
@@ -11,7 +11,7 @@
 from mountstand.jobs.repository import JobRepository
 from mountstand.quarantine.service import RequestQuarantine
 from mountstand.serving.batch_room import BatchScheduler
-from mountstand.serving.configuration import Configuration, Route, ShareChooser
+from mountstand.serving.configuration import Configuration, Route, WeightedServiceChooser
 from mountstand.serving.connections import WorkerConnections
 from mountstand.serving.events import EventSplitter
 from mountstand.serving.worker import PendingPrefill, Worker
@@ -77,7 +77,7 @@
     directory: WorkerDirectory
     connections: WorkerConnections
     protocol: WorkerProtocol
-    shares: ShareChooser
+    shares: WeightedServiceChooser
     batch_scheduler: BatchScheduler
     quarantine: RequestQuarantine
     metrics: ServingMetrics
--- a/mountstand/serving/configuration.py
+++ b/mountstand/serving/configuration.py
@@ -143,7 +143,7 @@
         return self._by_host.get(name.rpartition(":")[0], []) if routes is None else routes
 
 
-class ShareChooser:
+class WeightedServiceChooser:
     """Deals the requests of a route to its services exactly by weight.
 
     Smooth weighted round robin per route, from a random start so that many daemons together keep
--- a/mountstand/serving/forwarder.py
+++ b/mountstand/serving/forwarder.py
@@ -13,7 +13,7 @@
 from mountstand.quarantine.service import RequestQuarantine
 from mountstand.quarantine.suspect import TRIAL_RETRY_AFTER_S
 from mountstand.serving.batch_room import BatchScheduler
-from mountstand.serving.configuration import Route, ShareChooser
+from mountstand.serving.configuration import Route, WeightedServiceChooser
 from mountstand.serving.connections import WorkerConnections
 from mountstand.serving.exchange import (
     SAID_NOTHING,
@@ -59,7 +59,7 @@
         directory: WorkerDirectory,
         connections: WorkerConnections,
         protocol: WorkerProtocol,
-        shares: ShareChooser,
+        shares: WeightedServiceChooser,
         queue: OnlineQueue,
         batch_scheduler: BatchScheduler,
         quarantine: RequestQuarantine,
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -23,7 +23,7 @@
 from mountstand.quarantine.service import RequestQuarantine
 from mountstand.quarantine.stored import StoredSuspects
 from mountstand.serving.batch_room import BatchScheduler
-from mountstand.serving.configuration import Configuration, ShareChooser
+from mountstand.serving.configuration import Configuration, WeightedServiceChooser
 from mountstand.serving.connections import WorkerConnections
 from mountstand.serving.feeds import ConfigurationSource, ConfigurationState, WorkerDirectorySync
 from mountstand.serving.forwarder import Forwarder
@@ -129,7 +129,7 @@
         self.connections = WorkerConnections()
         self.queue = OnlineQueue(self.directory, source_of_chance)
         self.batch_scheduler = BatchScheduler(self.directory, self.queue, source_of_chance)
-        shares = ShareChooser(source_of_chance)
+        shares = WeightedServiceChooser(source_of_chance)
         self._build_membership(store)
         self.quarantine = RequestQuarantine(
             settings.name,
@@ -259,7 +259,7 @@
         self,
         store: Store,
         protocol: WorkerProtocol,
-        shares: ShareChooser,
+        shares: WeightedServiceChooser,
         parse_document: Callable[[bytes], tuple[JobItem, ...]],
     ) -> None:
         context = RunnerContext(
--- a/tests/serving/test_routing.py
+++ b/tests/serving/test_routing.py
@@ -9,7 +9,7 @@
 from testtools import TestCase
 
 from mountstand.platform.worker_protocol import parse_prompt
-from mountstand.serving.configuration import RequestKind, ServiceShare, ShareChooser
+from mountstand.serving.configuration import RequestKind, ServiceShare, WeightedServiceChooser
 from mountstand.serving.load_counts import TOKENS_PER_BLOCK
 from mountstand.serving.load_groups import Peer
 from mountstand.serving.load_sharing import LoadSharing
@@ -42,12 +42,12 @@
     def test_shares_are_exact_over_each_hundred(self) -> None:
         shares = (ServiceShare("a", 90.0), ServiceShare("b", 10.0))
         used = route(RequestKind.STREAM, shares=shares)
-        chooser = ShareChooser(random.Random(1))
+        chooser = WeightedServiceChooser(random.Random(1))
         counts = Counter(chooser.choose(used) for _ in range(1000))
         self.assertTrue(abs(counts["b"] - 100) <= 1, counts)
 
     def test_changed_weights_are_in_force_at_once(self) -> None:
-        chooser = ShareChooser(random.Random(1))
+        chooser = WeightedServiceChooser(random.Random(1))
         before = route(RequestKind.STREAM, shares=(ServiceShare("a", 1.0), ServiceShare("b", 1.0)))
         after = replace(before, shares=(ServiceShare("a", 0.001), ServiceShare("b", 1.0)))
         for _ in range(9):
--- a/tests/stand_ins/harness.py
+++ b/tests/stand_ins/harness.py
@@ -19,7 +19,7 @@
     Route,
     Service,
     ServiceShare,
-    ShareChooser,
+    WeightedServiceChooser,
 )
 from mountstand.serving.connections import WorkerConnections
 from mountstand.serving.online_queue import OnlineQueue
@@ -102,7 +102,7 @@
         self.directory = WorkerDirectory("zone-a", self.source)
         self.connections = WorkerConnections()
         self.protocol = PlatformWorkerProtocol()
-        self.shares = ShareChooser(self.source)
+        self.shares = WeightedServiceChooser(self.source)
         self.queue = OnlineQueue(self.directory, random.Random(2))
         self.batch_scheduler = BatchScheduler(self.directory, self.queue, random.Random(1))
         self.metrics = ServingMetrics()
