--- a/mountstand/platform/operator_rows.py
+++ b/mountstand/platform/operator_rows.py
@@ -7,7 +7,7 @@
 import orjson
 
 from mountstand.platform import names
-from mountstand.serving.cold_workers import ColdStart
+from mountstand.serving.cold_workers import ColdStartLimit
 from mountstand.serving.configuration import (
     Configuration,
     RequestKind,
@@ -60,7 +60,7 @@
     return Service(
         fields["name"],
         int(fields.get("max_conns") or DEFAULT_CONNECTIONS),
-        ColdStart(lasts_s, requests_per_s) if requests_per_s > 0 else None,
+        ColdStartLimit(lasts_s, requests_per_s) if requests_per_s > 0 else None,
     )
 
 
--- a/mountstand/platform/settings.py
+++ b/mountstand/platform/settings.py
@@ -10,7 +10,7 @@
 
 from mountstand.errors import InvalidSettings
 from mountstand.platform.names import SETTINGS_VARIABLE
-from mountstand.serving.cold_workers import ColdTolerance
+from mountstand.serving.cold_workers import ColdStartTolerance
 from mountstand.serving.residency import Geography
 from mountstand.serving_settings import Listeners, ServingSettings, SocketAddress, StoreSettings
 from mountstand.tenants.limits import LimitTolerance
@@ -76,9 +76,9 @@
     return Geography({str(zone): str(region) for zone, region in zones.items()})
 
 
-def _cold_tolerance(bounds: Fields) -> ColdTolerance:
-    usual = ColdTolerance()
-    return ColdTolerance(
+def _cold_tolerance(bounds: Fields) -> ColdStartTolerance:
+    usual = ColdStartTolerance()
+    return ColdStartTolerance(
         _number(bounds, "cold_overshoot", usual.factor), _number(bounds, "cold_slack", usual.slack)
     )
 
--- a/mountstand/serving/cold_workers.py
+++ b/mountstand/serving/cold_workers.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ColdStart:
+class ColdStartLimit:
     """What the workers of a service bear after a start."""
 
     lasts_s: float
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ColdTolerance:
+class ColdStartTolerance:
     """How exactly the bound of cold workers must be kept.
 
     A second may hold ``requests_per_s x factor + slack`` requests.
@@ -49,7 +49,7 @@
     factor: float = 1.0
     slack: float = 0.0
 
-    def shared_out(self, cold: ColdStart) -> int:
+    def shared_out(self, cold: ColdStartLimit) -> int:
         """Return how many requests of a second all daemons share out."""
         bound = cold.requests_per_s
         beyond = bound * self.factor + self.slack - bound
@@ -66,7 +66,7 @@
     def __init__(
         self,
         standing: Standing,
-        tolerance: ColdTolerance,
+        tolerance: ColdStartTolerance,
         began_s: float,
         knows_fleet: Callable[[], bool],
     ) -> None:
@@ -77,7 +77,7 @@
         self._dealt: dict[tuple[str, int], int] = {}
         self._dealt_among: tuple[str, ...] = ()
 
-    def part(self, worker_id: str, cold: ColdStart, now_s: float) -> int:
+    def part(self, worker_id: str, cold: ColdStartLimit, now_s: float) -> int:
         """Return how many requests this daemon may send a cold worker within a second."""
         if now_s - self._began_s < START_S or not self._knows_fleet():
             return 0
@@ -98,7 +98,7 @@
 
     __slots__ = ("_sends", "_used", "_worker_id", "cold", "until_s")
 
-    def __init__(self, worker_id: str, cold: ColdStart, sends: ColdSends) -> None:
+    def __init__(self, worker_id: str, cold: ColdStartLimit, sends: ColdSends) -> None:
         self._worker_id = worker_id
         self._sends = sends
         self._used = SlidingSum(WINDOW_S)
--- a/mountstand/serving/configuration.py
+++ b/mountstand/serving/configuration.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from mountstand.serving.cold_workers import ColdStart
+from mountstand.serving.cold_workers import ColdStartLimit
 from mountstand.serving.residency import ANYWHERE, Regions, in_both
 from mountstand.tenants.tenant import TenantIndex
 from mountstand.transport.http_server import ServerLimits
@@ -80,7 +80,7 @@
 
     name: str
     max_connections: int
-    cold: ColdStart | None = None
+    cold: ColdStartLimit | None = None
     """What a worker bears after a start, if that is less than usual."""
 
 
--- a/mountstand/serving_settings.py
+++ b/mountstand/serving_settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from mountstand.serving.cold_workers import ColdTolerance
+from mountstand.serving.cold_workers import ColdStartTolerance
 from mountstand.serving.residency import Geography
 from mountstand.tenants.limits import LimitTolerance
 
@@ -80,4 +80,4 @@
     seeds: tuple[SocketAddress, ...] = ()
     geography: Geography = field(default_factory=Geography)
     limit_tolerance: LimitTolerance = field(default_factory=LimitTolerance)
-    cold_tolerance: ColdTolerance = field(default_factory=ColdTolerance)
+    cold_tolerance: ColdStartTolerance = field(default_factory=ColdStartTolerance)
--- a/mountstand/serving_zones.py
+++ b/mountstand/serving_zones.py
@@ -7,7 +7,7 @@
 
 from mountstand.limits.standing import Standing
 from mountstand.serving.batch_room import BatchScheduler
-from mountstand.serving.cold_workers import ColdSends, ColdTolerance
+from mountstand.serving.cold_workers import ColdSends, ColdStartTolerance
 from mountstand.serving.configuration import Configuration
 from mountstand.serving.evacuation import ZoneEvacuations
 from mountstand.serving.evacuation_status import EvacuationStatus
@@ -35,7 +35,7 @@
         store: RowStore,
         source: ConfigurationSource,
         standing: Standing,
-        tolerance: ColdTolerance,
+        tolerance: ColdStartTolerance,
         knows_fleet: Callable[[], bool],
         writes_for: Callable[[str], bool],
         metrics: ServingMetrics,
@@ -68,7 +68,7 @@
         now_s = asyncio.get_running_loop().time()
         self._directory.set_cold_start_limits(cold, self._cold_sends, now_s)
 
-    def use_tolerance(self, tolerance: ColdTolerance) -> None:
+    def use_tolerance(self, tolerance: ColdStartTolerance) -> None:
         """Keep the bound of cold workers as exactly as this from now on."""
         self._cold_sends.tolerance = tolerance
 
--- a/tests/model/test_cold_workers.py
+++ b/tests/model/test_cold_workers.py
@@ -14,10 +14,15 @@
 
 from mountstand.limits.dealt import dealt_units
 from mountstand.limits.standing import Standing
-from mountstand.serving.cold_workers import ColdBudget, ColdSends, ColdStart, ColdTolerance
-
-COLD = ColdStart(lasts_s=3.0, requests_per_s=22.0)
-TOLERANCE = ColdTolerance(factor=1.5, slack=5.0)
+from mountstand.serving.cold_workers import (
+    ColdBudget,
+    ColdSends,
+    ColdStartLimit,
+    ColdStartTolerance,
+)
+
+COLD = ColdStartLimit(lasts_s=3.0, requests_per_s=22.0)
+TOLERANCE = ColdStartTolerance(factor=1.5, slack=5.0)
 BOUND = COLD.requests_per_s * TOLERANCE.factor + TOLERANCE.slack
 STALE_S = 4.0
 """A daemon knows that its picture of the fleet is older than this."""
@@ -186,7 +191,7 @@
 
     def test_a_bound_below_a_daemon_s_part_is_kept_whole(self) -> None:
         """With less than one request for each daemon, some send one and the others none."""
-        slow = ColdStart(3.0, 2.0)
+        slow = ColdStartLimit(3.0, 2.0)
         names = [f"d{n}" for n in range(12)]
         parts = []
         for name in names:
--- a/tests/unit/test_worker_rows.py
+++ b/tests/unit/test_worker_rows.py
@@ -8,7 +8,7 @@
 from testtools import TestCase
 
 from mountstand.platform.operator_rows import decode_configuration, decode_worker, evacuated_zone
-from mountstand.serving.cold_workers import ColdStart
+from mountstand.serving.cold_workers import ColdStartLimit
 from mountstand.serving.feeds import DECODE_ERRORS
 from mountstand.store.rows import RowKey, StoredRow
 
@@ -87,7 +87,7 @@
         ]
         value = orjson.dumps({"version": 1, "routes": [], "services": services})
         found = decode_configuration(value).services
-        self.assertEqual(ColdStart(3.0, 22.0), found["llm"].cold)
+        self.assertEqual(ColdStartLimit(3.0, 22.0), found["llm"].cold)
         self.assertEqual((None, None), (found["app"].cold, found["old"].cold))
 
     def test_rows_that_evacuate_a_zone(self) -> None:
