--- a/mountstand/serving/evacuation_status.py
+++ b/mountstand/serving/evacuation_status.py
@@ -51,7 +51,7 @@
     )
 
 
-class EvacuationStatus:
+class EvacuationStatusPublisher:
     """Keeps a row for each evacuated zone, as long as this daemon is the one to write it.
 
     ``key_of`` returns where the row of a zone is; ``writes_for`` whether this daemon writes it.
--- a/mountstand/serving_zones.py
+++ b/mountstand/serving_zones.py
@@ -10,7 +10,7 @@
 from mountstand.serving.cold_workers import ColdSends, ColdStartTolerance
 from mountstand.serving.configuration import Configuration
 from mountstand.serving.evacuation import ZoneEvacuations
-from mountstand.serving.evacuation_status import EvacuationStatus
+from mountstand.serving.evacuation_status import EvacuationStatusPublisher
 from mountstand.serving.feeds import ConfigurationSource
 from mountstand.serving.load_sharing import LoadSharing
 from mountstand.serving.workers import WorkerDirectory
@@ -49,7 +49,7 @@
         began_s = asyncio.get_running_loop().time()
         self._cold_sends = ColdSends(standing, tolerance, began_s, knows_fleet)
         self._evacuations = ZoneEvacuations(source.evacuated_zone, log, self._use_evacuations)
-        self._status = EvacuationStatus(
+        self._status = EvacuationStatusPublisher(
             store, directory, self._evacuations, source.evacuation_status_key, writes_for, log
         )
 
--- a/tests/serving/test_evacuation.py
+++ b/tests/serving/test_evacuation.py
@@ -17,7 +17,7 @@
 from mountstand.platform.operator_rows import evacuated_zone
 from mountstand.serving.cold_workers import ColdSends, ColdStartLimit, ColdStartTolerance
 from mountstand.serving.evacuation import ZoneEvacuations
-from mountstand.serving.evacuation_status import EvacuationStatus
+from mountstand.serving.evacuation_status import EvacuationStatusPublisher
 from mountstand.serving.load_groups import Peer, peers_outside_zones
 from mountstand.serving.load_sharing import LoadSharing
 from mountstand.serving.prompt import EMPTY_PROMPT
@@ -153,7 +153,7 @@
                 directory.put(record(number, "ab"[number % 2]), 0.0)
             evacuations = ZoneEvacuations(evacuated_zone, log, lambda zones: None)
             writes = True
-            status = EvacuationStatus(
+            status = EvacuationStatusPublisher(
                 store,
                 directory,
                 evacuations,
