--- a/mountstand/jobs/item_execution.py
+++ b/mountstand/jobs/item_execution.py
@@ -104,7 +104,7 @@
         with self._context.quarantine.running(self._call(progress), worker):
             result = await self._attempt(progress, route, worker)
         if result is None and progress.sent_at_s is not None:
-            await self._context.quarantine.settled(worker)
+            await self._context.quarantine.wait_until_checked(worker)
         return result
 
     async def _attempt(
--- a/mountstand/platform/operator_rows.py
+++ b/mountstand/platform/operator_rows.py
@@ -55,12 +55,12 @@
 
 
 def _service(fields: dict[str, Any]) -> Service:
-    lasts_s = float(fields.get("cold_start_s") or 0)
+    duration_s = float(fields.get("cold_start_s") or 0)
     requests_per_s = float(fields.get("cold_per_s") or 0)
     return Service(
         fields["name"],
         int(fields.get("max_conns") or DEFAULT_CONNECTIONS),
-        ColdStartLimit(lasts_s, requests_per_s) if requests_per_s > 0 else None,
+        ColdStartLimit(duration_s, requests_per_s) if requests_per_s > 0 else None,
     )
 
 
--- a/mountstand/platform/worker_protocol.py
+++ b/mountstand/platform/worker_protocol.py
@@ -5,7 +5,7 @@
 from mountstand.platform import names
 from mountstand.serving.prompt import Prompt, PromptPart
 from mountstand.serving.worker import LoadReport, Worker
-from mountstand.serving.worker_protocol import Call, ReplyKind, ReplyMeaning
+from mountstand.serving.worker_protocol import Call, ReplyKind, ReplySummary
 from mountstand.transport.headers import Header, Headers, number
 from mountstand.transport.http_client import ReplyHead
 
@@ -50,14 +50,14 @@
         """Return whether an answer echoes the id of ``call``."""
         return headers.get(names.REQUEST_ID.lower()) == call.request_id
 
-    def meaning(self, head: ReplyHead) -> ReplyMeaning:
+    def meaning(self, head: ReplyHead) -> ReplySummary:
         """Return what an answer's head says."""
         kind = ReplyKind.ANSWERED
         if head.status == names.STATUS_OTHER_WORKER:
             kind = ReplyKind.OTHER_WORKER
         elif head.headers.get(names.NOT_RUN.lower()) is not None:
             kind = ReplyKind.NOT_RUN
-        return ReplyMeaning(kind, _load(head.headers.get(names.LOAD.lower())))
+        return ReplySummary(kind, _load(head.headers.get(names.LOAD.lower())))
 
 
 def parse_prompt(text: str | None) -> Prompt:
--- a/mountstand/quarantine/service.py
+++ b/mountstand/quarantine/service.py
@@ -21,7 +21,7 @@
 )
 from mountstand.quarantine.stored import StoredSuspects
 from mountstand.serving.worker import Worker
-from mountstand.serving.worker_ends import WorkerEndObserver, WorkerEnds
+from mountstand.serving.worker_ends import WorkerCrashDetector, WorkerCrashObserver
 from mountstand.serving.worker_protocol import Call
 from mountstand.telemetry.decisions import DecisionLog
 from mountstand.telemetry.serving_metrics import ServingMetrics
@@ -30,7 +30,7 @@
 """How often it is looked whether something is to be told, while anything is known."""
 
 
-class RequestQuarantine(WorkerEndObserver, SuspectObserver):
+class RequestQuarantine(WorkerCrashObserver, SuspectObserver):
     """Decides which requests may be sent to workers.
 
     ``own`` is the name of this daemon. ``on_blocked`` is told of each content that becomes blocked.
@@ -39,7 +39,7 @@
     def __init__(
         self,
         own: str,
-        ends: WorkerEnds,
+        ends: WorkerCrashDetector,
         link: ReportLink,
         rng: random.Random,
         metrics: ServingMetrics,
@@ -70,9 +70,9 @@
         """Note that an exchange broke at a worker after the request was sent."""
         self._ends.note_broken(worker, call, sent_at_s)
 
-    async def settled(self, worker: Worker) -> None:
+    async def wait_until_checked(self, worker: Worker) -> None:
         """Wait until it is known whether a worker at which an exchange broke has ended."""
-        await self._ends.settled(worker)
+        await self._ends.wait_until_checked(worker)
 
     def is_suspect(self, call: Call) -> bool:
         """Return whether a worker ended under a request's content lately."""
@@ -128,7 +128,7 @@
             name = content_name(content)
             self._log.event("suspect_cleared", content=name, request=call.request_id)
 
-    def note_worker_ended(
+    def on_worker_crash(
         self, worker: Worker, sent_at_s: Mapping[int, float], ended_at_s: float
     ) -> None:
         """Suspect all contents that broke as a worker ended."""
--- a/mountstand/serving/cold_workers.py
+++ b/mountstand/serving/cold_workers.py
@@ -35,7 +35,7 @@
 class ColdStartLimit:
     """What the workers of a service bear after a start."""
 
-    lasts_s: float
+    duration_s: float
     requests_per_s: float
 
 
@@ -56,7 +56,7 @@
         return int(bound + max(0.0, beyond) * SPARE_SHARE)
 
 
-class ColdSends:
+class ColdStartShares:
     """Which part of what cold workers bear is this daemon's.
 
     ``began_s`` is when the process started; ``knows_fleet`` returns whether its picture of the
@@ -98,7 +98,7 @@
 
     __slots__ = ("_sends", "_used", "_worker_id", "cold", "until_s")
 
-    def __init__(self, worker_id: str, cold: ColdStartLimit, sends: ColdSends) -> None:
+    def __init__(self, worker_id: str, cold: ColdStartLimit, sends: ColdStartShares) -> None:
         self._worker_id = worker_id
         self._sends = sends
         self._used = SlidingSum(WINDOW_S)
--- a/mountstand/serving/forwarder.py
+++ b/mountstand/serving/forwarder.py
@@ -140,7 +140,7 @@
                 self._end_unfinished(exchange)
                 return
             if outcome not in SAID_NOTHING and self._quarantine.is_suspect(exchange.call):
-                await self._quarantine.settled(worker)
+                await self._quarantine.wait_until_checked(worker)
             worker = self._choose(exchange)
 
     async def _wait_for_worker(self, exchange: Exchange, received_at_s: float) -> Worker | None:
--- a/mountstand/serving/worker.py
+++ b/mountstand/serving/worker.py
@@ -206,7 +206,7 @@
     def assume_restarted(self, at_s: float) -> None:
         """Treat the worker as cold from ``at_s`` on: it may have started then without a word."""
         if self.cold is not None:
-            self.cold.note_cold(at_s + self.cold.cold.lasts_s)
+            self.cold.note_cold(at_s + self.cold.cold.duration_s)
 
     def note_overloaded(self, now_s: float) -> None:
         """Avoid the worker for a moment."""
--- a/mountstand/serving/worker_ends.py
+++ b/mountstand/serving/worker_ends.py
@@ -44,19 +44,19 @@
 """Contents that a line names at most; engines run about as many requests at once."""
 
 
-class WorkerEndObserver(ABC):
+class WorkerCrashObserver(ABC):
     """Is told of workers that ended."""
 
     __slots__ = ()
 
     @abstractmethod
-    def note_worker_ended(
+    def on_worker_crash(
         self, worker: Worker, sent_at_s: Mapping[int, float], ended_at_s: float
     ) -> None:
         """Take when ``worker`` ended, and when each content was sent that broke there."""
 
 
-class WorkerEnds:
+class WorkerCrashDetector:
     """Checks workers at which exchanges broke, each once at a time."""
 
     def __init__(
@@ -67,7 +67,7 @@
         self._log = log
         self._sent_at_s_by_worker: dict[str, dict[int, float]] = {}
         self._check_by_worker: dict[str, asyncio.Task[None]] = {}
-        self.observers: list[WorkerEndObserver] = []
+        self.observers: list[WorkerCrashObserver] = []
 
     def note_broken(self, worker: Worker, call: Call, sent_at_s: float) -> None:
         """Note that the exchange of ``call`` broke at ``worker`` after it was sent there."""
@@ -79,7 +79,7 @@
         if worker_id not in self._check_by_worker:
             self._check_by_worker[worker_id] = asyncio.create_task(self._check(worker))
 
-    async def settled(self, worker: Worker) -> None:
+    async def wait_until_checked(self, worker: Worker) -> None:
         """Wait until it is known whether a worker ended, if it is being checked, for a moment."""
         check = self._check_by_worker.get(worker.record.worker_id)
         if check is not None:
@@ -104,7 +104,7 @@
             broken=len(sent_at_s),
         )
         for observer in self.observers:
-            observer.note_worker_ended(worker, sent_at_s, broke_at_s)
+            observer.on_worker_crash(worker, sent_at_s, broke_at_s)
 
     async def _has_ended(self, worker: Worker) -> bool:
         """Return whether nothing listens at a worker's address, or nobody answers behind it.
--- a/mountstand/serving/worker_protocol.py
+++ b/mountstand/serving/worker_protocol.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True)
-class ReplyMeaning:
+class ReplySummary:
     """An answer as the product understands it."""
 
     kind: ReplyKind
@@ -79,5 +79,5 @@
     def belongs_to(self, call: Call, headers: Headers) -> bool:
         """Return whether an answer is the one to ``call``."""
 
-    def meaning(self, head: ReplyHead) -> ReplyMeaning:
+    def meaning(self, head: ReplyHead) -> ReplySummary:
         """Return what an answer's head says."""
--- a/mountstand/serving/workers.py
+++ b/mountstand/serving/workers.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from dataclasses import dataclass, replace
 
-from mountstand.serving.cold_workers import ColdBudget, ColdSends, ColdStartLimit
+from mountstand.serving.cold_workers import ColdBudget, ColdStartLimit, ColdStartShares
 from mountstand.serving.prompt import EMPTY_PROMPT, Prompt
 from mountstand.serving.residency import Geography, Regions
 from mountstand.serving.worker import Worker, WorkerRecord
@@ -47,7 +47,7 @@
         self._pool_by_name: dict[str, _Pool] = {}
         self._evacuated_since_s: dict[str, float] = {}
         self._cold_by_service: Mapping[str, ColdStartLimit] = {}
-        self._cold_sends: ColdSends | None = None
+        self._cold_sends: ColdStartShares | None = None
 
     def put(self, record: WorkerRecord, now_s: float) -> bool:
         """Take a worker's newest record; returns whether it says something new."""
@@ -156,7 +156,7 @@
         return newly
 
     def set_cold_start_limits(
-        self, cold_by_service: Mapping[str, ColdStartLimit], sends: ColdSends, now_s: float
+        self, cold_by_service: Mapping[str, ColdStartLimit], sends: ColdStartShares, now_s: float
     ) -> None:
         """Send workers of these services no more than they bear while they are cold."""
         self._cold_by_service = cold_by_service
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -33,7 +33,7 @@
 from mountstand.serving.residency import Regions
 from mountstand.serving.slot_demand import WorkKind
 from mountstand.serving.slot_lending import SlotLending
-from mountstand.serving.worker_ends import WorkerEnds
+from mountstand.serving.worker_ends import WorkerCrashDetector
 from mountstand.serving.worker_protocol import WorkerProtocol
 from mountstand.serving.workers import WorkerDirectory
 from mountstand.serving_callers import CallerDirectory
@@ -133,7 +133,7 @@
         self._build_membership(store)
         self.quarantine = RequestQuarantine(
             settings.name,
-            WorkerEnds(self.connections, metrics, log),
+            WorkerCrashDetector(self.connections, metrics, log),
             MembershipReportLink(self.membership, lambda: self.load_sharing.serving),
             source_of_chance,
             metrics,
--- a/mountstand/serving_zones.py
+++ b/mountstand/serving_zones.py
@@ -7,7 +7,7 @@
 
 from mountstand.limits.standing import Standing
 from mountstand.serving.batch_room import BatchScheduler
-from mountstand.serving.cold_workers import ColdSends, ColdStartTolerance
+from mountstand.serving.cold_workers import ColdStartShares, ColdStartTolerance
 from mountstand.serving.configuration import Configuration
 from mountstand.serving.evacuation import ZoneEvacuations
 from mountstand.serving.evacuation_status import EvacuationStatusPublisher
@@ -47,7 +47,7 @@
         self._metrics = metrics
         self._log = log
         began_s = asyncio.get_running_loop().time()
-        self._cold_sends = ColdSends(standing, tolerance, began_s, knows_fleet)
+        self._cold_sends = ColdStartShares(standing, tolerance, began_s, knows_fleet)
         self._evacuations = ZoneEvacuations(source.evacuated_zone, log, self._use_evacuations)
         self._status = EvacuationStatusPublisher(
             store, directory, self._evacuations, source.evacuation_status_key, writes_for, log
--- a/tests/model/test_cold_workers.py
+++ b/tests/model/test_cold_workers.py
@@ -16,12 +16,12 @@
 from mountstand.limits.standing import Standing
 from mountstand.serving.cold_workers import (
     ColdBudget,
-    ColdSends,
     ColdStartLimit,
+    ColdStartShares,
     ColdStartTolerance,
 )
 
-COLD = ColdStartLimit(lasts_s=3.0, requests_per_s=22.0)
+COLD = ColdStartLimit(duration_s=3.0, requests_per_s=22.0)
 TOLERANCE = ColdStartTolerance(factor=1.5, slack=5.0)
 BOUND = COLD.requests_per_s * TOLERANCE.factor + TOLERANCE.slack
 STALE_S = 4.0
@@ -41,7 +41,7 @@
         self.running = True
         self.cut = False
         self.now_s = now_s
-        self.sends = ColdSends(
+        self.sends = ColdStartShares(
             self.standing, TOLERANCE, now_s, lambda: self.now_s - self.heard_s <= STALE_S
         )
         self.budget = ColdBudget("w1", COLD, self.sends)
--- a/tests/quarantine/test_service.py
+++ b/tests/quarantine/test_service.py
@@ -13,7 +13,7 @@
 from mountstand.quarantine.suspect import EVIDENCE_S, INITIAL_BLOCK_S
 from mountstand.serving.connections import WorkerConnections
 from mountstand.serving.worker import Worker, WorkerRecord
-from mountstand.serving.worker_ends import WorkerEnds
+from mountstand.serving.worker_ends import WorkerCrashDetector
 from mountstand.serving.worker_protocol import Call
 from mountstand.store.memory_rows import MemoryRowStore
 from mountstand.store.rows import RowKey, Transaction
@@ -78,7 +78,7 @@
         metrics = ServingMetrics()
         self.quarantine = RequestQuarantine(
             name,
-            WorkerEnds(WorkerConnections(), metrics, self.log),
+            WorkerCrashDetector(WorkerConnections(), metrics, self.log),
             self.link,
             random.Random(name),
             metrics,
@@ -104,7 +104,7 @@
         """
         at_s = asyncio.get_running_loop().time() - 10.0 + number % 10
         sent_at_s = {each.content_key: at_s - 0.04 for each in calls or (CULPRIT,)}
-        self.quarantine.note_worker_ended(worker(number), sent_at_s, at_s)
+        self.quarantine.on_worker_crash(worker(number), sent_at_s, at_s)
 
 
 class Scenario(TestCase):
--- a/tests/serving/test_evacuation.py
+++ b/tests/serving/test_evacuation.py
@@ -15,7 +15,7 @@
 
 from mountstand.limits.standing import Standing
 from mountstand.platform.operator_rows import evacuated_zone
-from mountstand.serving.cold_workers import ColdSends, ColdStartLimit, ColdStartTolerance
+from mountstand.serving.cold_workers import ColdStartLimit, ColdStartShares, ColdStartTolerance
 from mountstand.serving.evacuation import ZoneEvacuations
 from mountstand.serving.evacuation_status import EvacuationStatusPublisher
 from mountstand.serving.load_groups import Peer, peers_outside_zones
@@ -109,7 +109,7 @@
     def test_workers_that_come_back_are_taken_as_cold(self) -> None:
         standing = Standing("d1")
         standing.use(["d1"], ["d1"])
-        sends = ColdSends(standing, ColdStartTolerance(), 0.0, lambda: True)
+        sends = ColdStartShares(standing, ColdStartTolerance(), 0.0, lambda: True)
         self.directory.set_cold_start_limits({"llm": ColdStartLimit(3.0, 2.0)}, sends, 0.0)
         self.directory.set_evacuated_zones({"b"}, 10.0)
         self.directory.set_evacuated_zones(set(), 20.0)
--- a/tests/serving/test_forwarder.py
+++ b/tests/serving/test_forwarder.py
@@ -8,7 +8,7 @@
 from testtools import TestCase
 
 from mountstand.limits.standing import Standing
-from mountstand.serving.cold_workers import ColdSends, ColdStartLimit, ColdStartTolerance
+from mountstand.serving.cold_workers import ColdStartLimit, ColdStartShares, ColdStartTolerance
 from mountstand.serving.configuration import RequestKind, Route
 from mountstand.serving.forwarder import Forwarder
 from mountstand.serving.prompt import EMPTY_PROMPT, Prompt, PromptPart
@@ -413,7 +413,7 @@
                 fleet = harness.fleet
                 standing = Standing("test")
                 standing.use(["test"], ["test"])
-                sends = ColdSends(standing, ColdStartTolerance(), float("-inf"), lambda: True)
+                sends = ColdStartShares(standing, ColdStartTolerance(), float("-inf"), lambda: True)
                 now_s = asyncio.get_running_loop().time()
                 fleet.directory.set_cold_start_limits(
                     {"llm": ColdStartLimit(5.0, 2.0)}, sends, now_s
--- a/tests/serving/test_worker_ends.py
+++ b/tests/serving/test_worker_ends.py
@@ -23,8 +23,8 @@
             async with Fleet(StandInWorker("w0")) as fleet:
                 worker = fleet.directory.workers["w0"]
                 await fleet.workers[0].stop()
-                fleet.ends.note_broken(worker, call("r1", b"one"), 0.0)
-                fleet.ends.note_broken(worker, call("r2", b"two"), 0.0)
+                fleet.crash_detector.note_broken(worker, call("r1", b"one"), 0.0)
+                fleet.crash_detector.note_broken(worker, call("r2", b"two"), 0.0)
                 await eventually(lambda: fleet.log.lines("worker_ended"), "end told")
                 (line,) = fleet.log.lines("worker_ended")
                 self.assertEqual(("w0", 2), (line["worker"], line["broken"]))
@@ -35,7 +35,7 @@
     def test_a_worker_that_accepts_connections_runs_on(self) -> None:
         async def body() -> None:
             async with Fleet(StandInWorker("w0")) as fleet:
-                fleet.ends.note_broken(fleet.directory.workers["w0"], call(), 0.0)
+                fleet.crash_detector.note_broken(fleet.directory.workers["w0"], call(), 0.0)
                 await asyncio.sleep(0.5)
                 self.assertEqual([], fleet.log.lines("worker_ended"))
                 self.assertEqual(1, fleet.workers[0].connections)
@@ -61,7 +61,7 @@
         async def body() -> None:
             async with Fleet(StandInWorker("w0")) as fleet:
                 await self.forwarder(fleet)
-                fleet.ends.note_broken(fleet.directory.workers["w0"], call(), 0.0)
+                fleet.crash_detector.note_broken(fleet.directory.workers["w0"], call(), 0.0)
                 await eventually(lambda: fleet.log.lines("worker_ended"), "end told")
 
         run(body())
@@ -70,7 +70,7 @@
         async def body() -> None:
             async with Fleet(StandInWorker("w0")) as fleet:
                 await self.forwarder(fleet, heard=True)
-                fleet.ends.note_broken(fleet.directory.workers["w0"], call(), 0.0)
+                fleet.crash_detector.note_broken(fleet.directory.workers["w0"], call(), 0.0)
                 await asyncio.sleep(1.5)
                 self.assertEqual([], fleet.log.lines("worker_ended"))
 
@@ -82,7 +82,7 @@
                 worker = fleet.directory.workers["w0"]
                 fleet.directory.remove("w0", 1, asyncio.get_running_loop().time())
                 await fleet.workers[0].stop()
-                fleet.ends.note_broken(worker, call(), 0.0)
+                fleet.crash_detector.note_broken(worker, call(), 0.0)
                 await asyncio.sleep(0.5)
                 self.assertEqual([], fleet.log.lines("worker_ended"))
 
--- a/tests/stand_ins/harness.py
+++ b/tests/stand_ins/harness.py
@@ -24,7 +24,7 @@
 from mountstand.serving.connections import WorkerConnections
 from mountstand.serving.online_queue import OnlineQueue
 from mountstand.serving.worker import WorkerRecord
-from mountstand.serving.worker_ends import WorkerEnds
+from mountstand.serving.worker_ends import WorkerCrashDetector
 from mountstand.serving.workers import WorkerDirectory
 from mountstand.telemetry.decisions import DecisionLog
 from mountstand.telemetry.serving_metrics import ServingMetrics
@@ -107,10 +107,10 @@
         self.batch_scheduler = BatchScheduler(self.directory, self.queue, random.Random(1))
         self.metrics = ServingMetrics()
         self.log = LineLog()
-        self.ends = WorkerEnds(self.connections, self.metrics, self.log)
+        self.crash_detector = WorkerCrashDetector(self.connections, self.metrics, self.log)
         self.link = RecordingReportLink()
         self.quarantine = RequestQuarantine(
-            "test", self.ends, self.link, self.source, self.metrics, self.log
+            "test", self.crash_detector, self.link, self.source, self.metrics, self.log
         )
 
     async def __aenter__(self) -> Fleet:
