--- a/mountstand/jobs/item_execution.py
+++ b/mountstand/jobs/item_execution.py
@@ -159,13 +159,13 @@
             head = await connection.read_head()
         reading.end()
         worker.note_response(loop.time())
-        meaning = context.protocol.meaning(head)
-        if meaning.load is not None:
-            worker.note_load(meaning.load, loop.time())
-        if meaning.kind is ReplyKind.OTHER_WORKER:
+        reply_summary = context.protocol.reply_summary(head)
+        if reply_summary.load is not None:
+            worker.note_load(reply_summary.load, loop.time())
+        if reply_summary.kind is ReplyKind.OTHER_WORKER:
             context.directory.forget(worker)
             return None
-        if meaning.kind is ReplyKind.NOT_RUN:
+        if reply_summary.kind is ReplyKind.NOT_RUN:
             worker.note_overloaded(loop.time())
             return None
         if head.status != 200:
--- a/mountstand/platform/worker_protocol.py
+++ b/mountstand/platform/worker_protocol.py
@@ -50,7 +50,7 @@
         """Return whether an answer echoes the id of ``call``."""
         return headers.get(names.REQUEST_ID.lower()) == call.request_id
 
-    def meaning(self, head: ReplyHead) -> ReplySummary:
+    def reply_summary(self, head: ReplyHead) -> ReplySummary:
         """Return what an answer's head says."""
         kind = ReplyKind.ANSWERED
         if head.status == names.STATUS_OTHER_WORKER:
--- a/mountstand/serving/reply_relay.py
+++ b/mountstand/serving/reply_relay.py
@@ -55,14 +55,14 @@
         head = await self._read_head(exchange, worker, connection)
         now_s = asyncio.get_running_loop().time()
         worker.note_response(now_s)
-        meaning = self._protocol.meaning(head)
-        if meaning.load is not None:
-            exchange.load = meaning.load
-            worker.note_load(meaning.load, now_s)
+        reply_summary = self._protocol.reply_summary(head)
+        if reply_summary.load is not None:
+            exchange.load = reply_summary.load
+            worker.note_load(reply_summary.load, now_s)
             self._batch_scheduler.preempt_for_online(worker, now_s)
-        if meaning.kind is not ReplyKind.ANSWERED:
+        if reply_summary.kind is not ReplyKind.ANSWERED:
             exchange.runs -= 1
-            return self._note_refusal(exchange, worker, meaning.kind, now_s)
+            return self._note_refusal(exchange, worker, reply_summary.kind, now_s)
         content_type = (head.headers.get("content-type") or "").lower()
         if head.status == 200 and content_type.startswith(EVENT_STREAM):
             return await self._relay_stream(exchange, worker, connection, head)
--- a/mountstand/serving/worker_protocol.py
+++ b/mountstand/serving/worker_protocol.py
@@ -79,5 +79,5 @@
     def belongs_to(self, call: Call, headers: Headers) -> bool:
         """Return whether an answer is the one to ``call``."""
 
-    def meaning(self, head: ReplyHead) -> ReplySummary:
+    def reply_summary(self, head: ReplyHead) -> ReplySummary:
         """Return what an answer's head says."""
--- a/tests/contract/test_untrusted_input.py
+++ b/tests/contract/test_untrusted_input.py
@@ -89,7 +89,7 @@
     def test_headers_of_any_text(self, text: str) -> None:
         parse_prompt(text)
         head = ReplyHead(200, Headers([("Server-Load", text)]), None, False)
-        PlatformWorkerProtocol().meaning(head)
+        PlatformWorkerProtocol().reply_summary(head)
 
 
 class Streams(TestCase):
--- a/tests/unit/test_load_reports.py
+++ b/tests/unit/test_load_reports.py
@@ -12,7 +12,7 @@
 
 def report(text: str) -> LoadReport | None:
     head = ReplyHead(200, Headers([("Server-Load", text)]), None, False)
-    return PlatformWorkerProtocol().meaning(head).load
+    return PlatformWorkerProtocol().reply_summary(head).load
 
 
 class Reports(TestCase):
