--- a/mountstand/jobs/item_execution.py
+++ b/mountstand/jobs/item_execution.py
@@ -152,7 +152,7 @@
             call.target,
             headers,
             call.body,
-            lambda reply: context.protocol.belongs_to(call, reply),
+            lambda reply: context.protocol.is_reply_to(call, reply),
         )
         progress.sent_at_s = loop.time()
         async with asyncio.timeout(FIRST_EVENT_S):
--- a/mountstand/platform/worker_protocol.py
+++ b/mountstand/platform/worker_protocol.py
@@ -46,7 +46,7 @@
             headers.append((names.LAST_EVENT_ID, str(resume_after)))
         return headers
 
-    def belongs_to(self, call: Call, headers: Headers) -> bool:
+    def is_reply_to(self, call: Call, headers: Headers) -> bool:
         """Return whether an answer echoes the id of ``call``."""
         return headers.get(names.REQUEST_ID.lower()) == call.request_id
 
--- a/mountstand/serving/connections.py
+++ b/mountstand/serving/connections.py
@@ -10,7 +10,7 @@
 
 import asyncio
 
-from mountstand.serving.rest_limit import RestLimit
+from mountstand.serving.idle_limit import IdleLimit
 from mountstand.serving.worker import Worker
 from mountstand.transport.adaptive_timeout import AdaptiveTimeout
 from mountstand.transport.forwarders import TURNED_AWAY_S
@@ -42,7 +42,7 @@
     def __init__(self) -> None:
         self._idle: dict[str, list[ClientConnection]] = {}
         self._timeout = AdaptiveTimeout(SHORTEST_CONNECT_S, LONGEST_CONNECT_S, CONNECT_FACTOR)
-        self._rest_limit = RestLimit()
+        self._rest_limit = IdleLimit()
 
     async def check(self, worker: Worker) -> None:
         """Find out whether ``worker`` accepts connections. Raises ``ConnectFailed``."""
@@ -127,7 +127,7 @@
         """Learn from an exchange that broke: the worker may have forgotten the connection."""
         now_s = asyncio.get_running_loop().time()
         if connection.was_forgotten(now_s, self._timeout.usual_s):
-            self._rest_limit.note_forgotten(connection.rested_s(now_s), now_s)
+            self._rest_limit.note_reset(connection.rested_s(now_s), now_s)
 
     def _rested_well(self, connection: ClientConnection, now_s: float) -> bool:
         """Return whether a connection's peer surely has not begun to close it for resting."""
--- a/mountstand/serving/forwarder.py
+++ b/mountstand/serving/forwarder.py
@@ -300,7 +300,7 @@
                 call.target,
                 headers,
                 call.body,
-                lambda reply: self._protocol.belongs_to(call, reply),
+                lambda reply: self._protocol.is_reply_to(call, reply),
             )
         except ReplyBroken as problem:
             exchange.cause = problem.reason
--- a/mountstand/serving/rest_limit.py
+++ b/mountstand/serving/idle_limit.py
@@ -19,7 +19,7 @@
 """A connection used again this soon is trusted always: it rested for about one round trip."""
 
 
-class RestLimit:
+class IdleLimit:
     """The longest rest that is trusted, in seconds."""
 
     __slots__ = ("_limit_s", "_noted_at_s")
@@ -33,7 +33,7 @@
         doublings = min(MOST_DOUBLINGS, (now_s - self._noted_at_s) / DOUBLING_S)
         return self._limit_s * 2**doublings
 
-    def note_forgotten(self, rested_s: float, now_s: float) -> None:
+    def note_reset(self, rested_s: float, now_s: float) -> None:
         """Take note of a connection that was forgotten after ``rested_s``."""
         limit_s = max(SHORTEST_REST_S, rested_s * REST_SHARE)
         self._limit_s = min(self.value_s(now_s), limit_s)
--- a/mountstand/serving/worker_protocol.py
+++ b/mountstand/serving/worker_protocol.py
@@ -76,7 +76,7 @@
     ) -> list[Header]:
         """Return all headers of a dispatch, but for its framing."""
 
-    def belongs_to(self, call: Call, headers: Headers) -> bool:
+    def is_reply_to(self, call: Call, headers: Headers) -> bool:
         """Return whether an answer is the one to ``call``."""
 
     def reply_summary(self, head: ReplyHead) -> ReplySummary:
--- a/tests/serving/test_rest_limit.py
+++ b/tests/serving/test_rest_limit.py
@@ -7,7 +7,7 @@
 from testtools import TestCase
 
 from mountstand.serving.configuration import RequestKind
-from mountstand.serving.rest_limit import DOUBLING_S, SHORTEST_REST_S, RestLimit
+from mountstand.serving.idle_limit import DOUBLING_S, SHORTEST_REST_S, IdleLimit
 from tests.serving.test_forwarder import ForwarderHarness
 from tests.stand_ins.harness import route, run
 from tests.stand_ins.worker import Answer, Received, reset, whole
@@ -32,23 +32,23 @@
 
 class Limit(TestCase):
     def test_falls_at_once_and_rises_with_time(self) -> None:
-        limit = RestLimit()
+        limit = IdleLimit()
         self.assertEqual(float("inf"), limit.value_s(5.0))
-        limit.note_forgotten(0.4, 10.0)
+        limit.note_reset(0.4, 10.0)
         self.assertAlmostEqual(0.2, limit.value_s(10.0))
-        limit.note_forgotten(1.0, 10.0)
+        limit.note_reset(1.0, 10.0)
         self.assertAlmostEqual(0.2, limit.value_s(10.0), msg="a longer rest says nothing new")
         self.assertAlmostEqual(0.4, limit.value_s(10.0 + DOUBLING_S))
-        limit.note_forgotten(0.0, 10.0)
+        limit.note_reset(0.0, 10.0)
         self.assertAlmostEqual(SHORTEST_REST_S, limit.value_s(10.0))
 
     def test_clock_that_has_run_for_years(self) -> None:
         years_s = 1e9
-        limit = RestLimit()
+        limit = IdleLimit()
         self.assertEqual(float("inf"), limit.value_s(years_s))
-        limit.note_forgotten(0.4, 0.0)
+        limit.note_reset(0.4, 0.0)
         self.assertLess(limit.value_s(years_s), float("inf"))
-        limit.note_forgotten(0.4, years_s)
+        limit.note_reset(0.4, years_s)
         self.assertAlmostEqual(0.2, limit.value_s(years_s))
 
 
