--- a/mountstand/jobs/service.py
+++ b/mountstand/jobs/service.py
@@ -240,7 +240,7 @@
         configuration = self._context.configuration()
         if configuration is None:
             return
-        regions = configuration.regions_of_job(head.host, head.path, head.tenant)
+        regions = configuration.regions_for_job(head.host, head.path, head.tenant)
         if not self._owners.may_own(regions):
             return
         now_s = asyncio.get_running_loop().time()
--- a/mountstand/serving/configuration.py
+++ b/mountstand/serving/configuration.py
@@ -80,7 +80,7 @@
 
     name: str
     max_connections: int
-    cold: ColdStartLimit | None = None
+    cold_start_limit: ColdStartLimit | None = None
     """What a worker bears after a start, if that is less than usual."""
 
 
@@ -114,7 +114,7 @@
         known = self.tenants.by_name.get(tenant)
         return in_both(route.regions, known.regions if known is not None else ANYWHERE)
 
-    def regions_of_job(self, host: str, path: str, tenant: str) -> Regions | None:
+    def regions_for_job(self, host: str, path: str, tenant: str) -> Regions | None:
         """Return where a job may be served that a tenant handed in; everywhere without a route.
 
         Its items are given up then, without a worker.
@@ -122,7 +122,7 @@
         route = self.match(host, path)
         return self.regions_for(route, tenant) if route is not None else ANYWHERE
 
-    def regions_of_host(self, host: str) -> Regions | None:
+    def regions_for_host(self, host: str) -> Regions | None:
         """Return where callers of a host may be sent whose own region has no daemon.
 
         These are the regions that all routes of the host allow. Who calls is not known there; if
--- a/mountstand/serving/evacuation_status.py
+++ b/mountstand/serving/evacuation_status.py
@@ -54,7 +54,7 @@
 class EvacuationStatusPublisher:
     """Keeps a row for each evacuated zone, as long as this daemon is the one to write it.
 
-    ``key_of`` returns where the row of a zone is; ``writes_for`` whether this daemon writes it.
+    ``key_of`` returns where the row of a zone is; ``is_writer_for`` whether this daemon writes it.
     """
 
     def __init__(
@@ -63,14 +63,14 @@
         directory: WorkerDirectory,
         evacuations: ZoneEvacuations,
         key_of: Callable[[str], RowKey],
-        writes_for: Callable[[str], bool],
+        is_writer_for: Callable[[str], bool],
         log: DecisionLog,
     ) -> None:
         self._store = store
         self._directory = directory
         self._evacuations = evacuations
         self._key_of = key_of
-        self._writes_for = writes_for
+        self._writes_for = is_writer_for
         self._log = log
         self._told: dict[str, EvacuationProgress] = {}
 
--- a/mountstand/serving/load_sharing.py
+++ b/mountstand/serving/load_sharing.py
@@ -189,7 +189,7 @@
         elif self._is_head and former is not None and former.scope is digest.scope:
             self._take_over_change(former.counts_by_key, by_key)
 
-    def use_evacuations(self, zones: frozenset[str]) -> None:
+    def set_evacuated_zones(self, zones: frozenset[str]) -> None:
         """Let no daemon of these zones serve callers, as long as others can."""
         self._evacuated_zones = zones
 
--- a/mountstand/serving_callers.py
+++ b/mountstand/serving_callers.py
@@ -36,7 +36,7 @@
     def addresses(self, configuration: Configuration, host: str, zone: str) -> list[str]:
         """Return the addresses that a caller of ``host`` in ``zone`` may use."""
         serving = self.serving()
-        regions = configuration.regions_of_host(host)
+        regions = configuration.regions_for_host(host)
         if regions is not None:
             serving = in_regions(regions, zone, serving, self._registry.sound(), self._geography())
         return addresses_for(zone, serving, self._rng)
--- a/mountstand/serving_zones.py
+++ b/mountstand/serving_zones.py
@@ -23,7 +23,7 @@
 class ServingZones:
     """Puts evacuations and cold starts into force.
 
-    ``knows_fleet`` returns whether the picture of the daemons is fresh, ``writes_for`` whether this
+    ``knows_fleet`` returns whether the picture of the daemons is fresh, ``is_writer_for`` whether this
     daemon tells the operator of a zone.
     """
 
@@ -37,7 +37,7 @@
         standing: Standing,
         tolerance: ColdStartTolerance,
         knows_fleet: Callable[[], bool],
-        writes_for: Callable[[str], bool],
+        is_writer_for: Callable[[str], bool],
         metrics: ServingMetrics,
         log: DecisionLog,
     ) -> None:
@@ -50,7 +50,7 @@
         self._cold_sends = ColdStartShares(standing, tolerance, began_s, knows_fleet)
         self._evacuations = ZoneEvacuations(source.evacuated_zone, log, self._use_evacuations)
         self._status = EvacuationStatusPublisher(
-            store, directory, self._evacuations, source.evacuation_status_key, writes_for, log
+            store, directory, self._evacuations, source.evacuation_status_key, is_writer_for, log
         )
 
     @property
@@ -64,9 +64,13 @@
 
     def use_configuration(self, configuration: Configuration) -> None:
         """Take what the workers of each service bear after a start."""
-        cold = {each.name: each.cold for each in configuration.services.values() if each.cold}
+        cold_start_limit = {
+            each.name: each.cold_start_limit
+            for each in configuration.services.values()
+            if each.cold_start_limit
+        }
         now_s = asyncio.get_running_loop().time()
-        self._directory.set_cold_start_limits(cold, self._cold_sends, now_s)
+        self._directory.set_cold_start_limits(cold_start_limit, self._cold_sends, now_s)
 
     def use_tolerance(self, tolerance: ColdStartTolerance) -> None:
         """Keep the bound of cold workers as exactly as this from now on."""
@@ -79,7 +83,7 @@
     def _use_evacuations(self, zones: frozenset[str]) -> None:
         """Send nothing more to workers of evacuated zones, and name their daemons to nobody."""
         left = self._directory.set_evacuated_zones(zones, asyncio.get_running_loop().time())
-        self._load_sharing.use_evacuations(zones)
+        self._load_sharing.set_evacuated_zones(zones)
         self._metrics.zones_evacuated(len(zones))
         if left:
             self._log.event(
--- a/tests/serving/test_evacuation.py
+++ b/tests/serving/test_evacuation.py
@@ -127,12 +127,12 @@
         sharing = LoadSharing(directory, Peer("d0", "a"), link)
         sharing.tick(0.1)
         self.assertEqual({"d0", "d1", "d2", "d3"}, sharing.serving)
-        sharing.use_evacuations(frozenset({"b"}))
+        sharing.set_evacuated_zones(frozenset({"b"}))
         sharing.tick(0.2)
         self.assertEqual({"d0", "d2"}, sharing.serving)
         owners = directory.chooser.slot_owners_by_service["llm"]["w0"]
         self.assertEqual({"d0", "d2"}, set(owners), "slots are dealt to daemons that serve")
-        sharing.use_evacuations(frozenset())
+        sharing.set_evacuated_zones(frozenset())
         sharing.tick(0.3)
         self.assertEqual({"d0", "d1", "d2", "d3"}, sharing.serving)
 
--- a/tests/serving/test_residency.py
+++ b/tests/serving/test_residency.py
@@ -53,14 +53,14 @@
         ]
         fields = {"version": 1, "routes": [route, bound], "services": [], "tenants": tenants}
         found = decode_configuration(orjson.dumps(fields))
-        self.assertEqual({"west"}, found.regions_of_job("h", "/b/1", "a"))
-        self.assertEqual({"west", "south"}, found.regions_of_job("h", "/r/1", "a"))
-        self.assertIsNone(found.regions_of_job("h", "/r/1", "free"))
-        self.assertEqual({"north", "west"}, found.regions_of_job("h", "/b/1", ""))
-        self.assertEqual(frozenset(), found.regions_of_host("h"), "who calls is not known")
+        self.assertEqual({"west"}, found.regions_for_job("h", "/b/1", "a"))
+        self.assertEqual({"west", "south"}, found.regions_for_job("h", "/r/1", "a"))
+        self.assertIsNone(found.regions_for_job("h", "/r/1", "free"))
+        self.assertEqual({"north", "west"}, found.regions_for_job("h", "/b/1", ""))
+        self.assertEqual(frozenset(), found.regions_for_host("h"), "who calls is not known")
         free = decode_configuration(orjson.dumps({**fields, "tenants": []}))
-        self.assertEqual({"north", "west"}, free.regions_of_host("h"))
-        self.assertIsNone(free.regions_of_host("other"))
+        self.assertEqual({"north", "west"}, free.regions_for_host("h"))
+        self.assertIsNone(free.regions_for_host("other"))
 
 
 class Pools(TestCase):
--- a/tests/unit/test_worker_rows.py
+++ b/tests/unit/test_worker_rows.py
@@ -87,8 +87,10 @@
         ]
         value = orjson.dumps({"version": 1, "routes": [], "services": services})
         found = decode_configuration(value).services
-        self.assertEqual(ColdStartLimit(3.0, 22.0), found["llm"].cold)
-        self.assertEqual((None, None), (found["app"].cold, found["old"].cold))
+        self.assertEqual(ColdStartLimit(3.0, 22.0), found["llm"].cold_start_limit)
+        self.assertEqual(
+            (None, None), (found["app"].cold_start_limit, found["old"].cold_start_limit)
+        )
 
     def test_rows_that_evacuate_a_zone(self) -> None:
         self.assertEqual("zone-a", evacuated_zone("evacuate/zone-a"))
