--- a/mountstand/quarantine/threads.py
+++ b/mountstand/quarantine/threads.py
@@ -128,7 +128,7 @@
         self._sharing.observer = self
         self._separation = SuspectSeparation(self._sharing.suspects)
         self._table = table
-        self._has_ended = has_ended
+        self._has_crashed = has_ended
         self._metrics = metrics
         self._loaded = False
         self._kept: set[int] = set()
@@ -257,7 +257,7 @@
         for number in range(CHECKS):
             if number:
                 time.sleep(CHECK_PAUSE_S)
-            ended = ended and self._has_ended(machine)
+            ended = ended and self._has_crashed(machine)
         with self._lock:
             sent_at_s = self._sent_at_s_by_machine.pop(machine.machine_id)
             if ended:
--- a/mountstand/routing/outliers.py
+++ b/mountstand/routing/outliers.py
@@ -7,8 +7,8 @@
 FAILURES_TO_EJECT = 3
 """Failures in a row, so that one broken exchange does not remove a worker."""
 
-FIRST_EJECTION_S = 1.0
-LONGEST_EJECTION_S = 30.0
+BASE_EJECTION_S = 1.0
+MAX_EJECTION_S = 30.0
 MAX_EJECTED_SHARE = 0.5
 """Past this share failures are likely to be the daemon's or the network's own."""
 
@@ -37,7 +37,7 @@
         self.failures_in_row += 1
         if self.failures_in_row < FAILURES_TO_EJECT and self.ejections == 0:
             return
-        duration_s = min(LONGEST_EJECTION_S, FIRST_EJECTION_S * 2**self.ejections)
+        duration_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**self.ejections)
         self.ejections += 1
         self.ejected_until_s = now_s + duration_s
 
--- a/mountstand/serving/batch_room.py
+++ b/mountstand/serving/batch_room.py
@@ -18,7 +18,7 @@
 from mountstand.serving.slot_demand import SlotDemand, WaitingCounts
 from mountstand.serving.spread import round_by_chance
 from mountstand.serving.worker import Worker
-from mountstand.serving.worker_choice import FULL
+from mountstand.serving.worker_choice import TARGET_UTILIZATION
 from mountstand.serving.workers import WorkerDirectory
 
 
@@ -189,7 +189,7 @@
     def _grant(self, service: str, allowance: int, now_s: float) -> None:
         waiting = self._waiting.get(service, [])
         while waiting and allowance > 0:
-            worker = self._directory.choose_below_utilization(service, FULL, now_s)
+            worker = self._directory.choose_below_utilization(service, TARGET_UTILIZATION, now_s)
             if worker is None:
                 return
             waiter = waiting.pop(0)
--- a/mountstand/serving/evacuation_status.py
+++ b/mountstand/serving/evacuation_status.py
@@ -46,7 +46,7 @@
     workers = [worker for worker in directory.workers.values() if worker.record.zone == zone]
     return EvacuationProgress(
         len(workers),
-        sum(worker.total_online for worker in workers),
+        sum(worker.online for worker in workers),
         sum(worker.batch for worker in workers),
     )
 
--- a/mountstand/serving/worker.py
+++ b/mountstand/serving/worker.py
@@ -137,7 +137,7 @@
         return self.in_flight + self.peer_online + self.peer_batch
 
     @property
-    def total_online(self) -> int:
+    def online(self) -> int:
         """Online requests that all daemons are known to have in flight here."""
         return self.in_flight - self.batch_in_flight + self.peer_online
 
--- a/mountstand/serving/worker_choice.py
+++ b/mountstand/serving/worker_choice.py
@@ -27,7 +27,7 @@
 UNSEEN_PER_WORKER = 0.5
 """Up to so many requests per worker that peers began unseen, the picture of the load is fresh."""
 
-FULL = 1.0
+TARGET_UTILIZATION = 1.0
 """Fill below which it matters little how even loads are. Spreading over all free slots leaves room
 for a rise of traffic that nobody can have seen yet."""
 
@@ -134,7 +134,7 @@
     ) -> Worker:
         """Choose by chance, the likelier the more a worker lacks to the level of all."""
         fills = _fills(candidates, now_s)
-        lacking = deficits_below(fills, max(FULL, fill_level_after(fills, unseen)))
+        lacking = deficits_below(fills, max(TARGET_UTILIZATION, fill_level_after(fills, unseen)))
         weights = [
             lack * tolerated / (tolerated + worker.unread)
             for lack, worker in zip(lacking, candidates, strict=True)
--- a/mountstand/serving/worker_ends.py
+++ b/mountstand/serving/worker_ends.py
@@ -88,7 +88,7 @@
     async def _check(self, worker: Worker) -> None:
         broke_at_s = asyncio.get_running_loop().time()
         try:
-            ended = await self._has_ended(worker)
+            ended = await self._has_crashed(worker)
         finally:
             sent_at_s = self._sent_at_s_by_worker.pop(worker.record.worker_id)
             del self._check_by_worker[worker.record.worker_id]
@@ -106,7 +106,7 @@
         for observer in self.observers:
             observer.on_worker_crash(worker, sent_at_s, broke_at_s)
 
-    async def _has_ended(self, worker: Worker) -> bool:
+    async def _has_crashed(self, worker: Worker) -> bool:
         """Return whether nothing listens at a worker's address, or nobody answers behind it.
 
         A full worker turns connections away too, but is heard on those that it has.
--- a/mountstand/serving/worker_health.py
+++ b/mountstand/serving/worker_health.py
@@ -26,8 +26,8 @@
 MOST_EJECTED_SHARE = 0.5
 """Past this share of a service the cause is hardly the workers."""
 
-FIRST_EJECTION_S = 4.0
-LONGEST_EJECTION_S = 16.0
+BASE_EJECTION_S = 4.0
+MAX_EJECTION_S = 16.0
 FORGET_S = 20.0
 """An ejection lasts twice as long as the one before, unless that was so long ago."""
 
@@ -95,9 +95,7 @@
     def eject(self, now_s: float) -> None:
         """Eject the worker for a while, longer if it has just been."""
         again = now_s - self.ejected_until_s < FORGET_S and self.ejection_s > 0
-        self.ejection_s = (
-            min(LONGEST_EJECTION_S, 2 * self.ejection_s) if again else FIRST_EJECTION_S
-        )
+        self.ejection_s = min(MAX_EJECTION_S, 2 * self.ejection_s) if again else BASE_EJECTION_S
         self.ejected_until_s = now_s + self.ejection_s
 
 
--- a/mountstand/serving_zones.py
+++ b/mountstand/serving_zones.py
@@ -89,6 +89,6 @@
             self._log.event(
                 "workers_evacuated",
                 workers=len(left),
-                requests_left=sum(worker.total_online for worker in left),
+                requests_left=sum(worker.online for worker in left),
                 items_moved=sum(self._batch_scheduler.preempt_all(worker) for worker in left),
             )
--- a/tests/serving/test_forwarder.py
+++ b/tests/serving/test_forwarder.py
@@ -205,8 +205,10 @@
 
     PROMPT = Prompt((PromptPart("aa", 100), PromptPart("bb", 400)))
 
-    def unread(self, harness: ForwarderHarness) -> int:
-        return sum(worker.unread for worker in harness.fleet.directory.workers.values())
+    def pending_prefill_tokens(self, harness: ForwarderHarness) -> int:
+        return sum(
+            worker.pending_prefill_tokens for worker in harness.fleet.directory.workers.values()
+        )
 
     def test_until_the_first_event(self) -> None:
         async def scenario() -> None:
@@ -215,7 +217,8 @@
                 asked = asyncio.create_task(harness.send_request())
                 worker = harness.fleet.directory.workers["w0"]
                 await eventually(
-                    lambda: worker.last_contact_s > 0 and not worker.unread, "it begins"
+                    lambda: worker.last_contact_s > 0 and not worker.pending_prefill_tokens,
+                    "it begins",
                 )
                 self.assertEqual(1, worker.in_flight)
                 await asked
@@ -228,9 +231,9 @@
                 harness.prompt = self.PROMPT
                 harness.deadline_s = 0.5
                 asked = asyncio.create_task(harness.send_request())
-                await eventually(lambda: self.unread(harness) == 500, "it waits")
+                await eventually(lambda: self.pending_prefill_tokens(harness) == 500, "it waits")
                 self.assertEqual(504, (await asked)[0])
-                self.assertEqual(0, self.unread(harness))
+                self.assertEqual(0, self.pending_prefill_tokens(harness))
 
         run(scenario())
 
@@ -239,7 +242,7 @@
             async with ForwarderHarness(REPEATABLE, (reset,), (reset,)) as harness:
                 harness.prompt = self.PROMPT
                 await harness.send_request()
-                self.assertEqual(0, self.unread(harness))
+                self.assertEqual(0, self.pending_prefill_tokens(harness))
 
         run(scenario())
 
--- a/tests/serving/test_routing.py
+++ b/tests/serving/test_routing.py
@@ -119,7 +119,7 @@
         sharing.handle("peer", LoadDigest(keys, (2, 1), (0, 2)), 0.0)
         self.assertEqual("w2", self.choose())
         self.assertEqual(
-            (1, 2), (self.directory.workers["w1"].total_online, self.directory.workers["w1"].batch)
+            (1, 2), (self.directory.workers["w1"].online, self.directory.workers["w1"].batch)
         )
         sharing.tick(100.0)
         self.assertEqual(0, self.directory.workers["w1"].known, "a silent peer has nothing there")
