--- a/tests/serving/test_residency.py
+++ b/tests/serving/test_residency.py
@@ -127,8 +127,8 @@
             for worker in self.directory.workers.values():
                 worker.in_flight = 1
             bound = await self.ask(self.south)
-            self.assertFalse(self.queue.use(self.worker("n1-0")))
-            self.assertTrue(self.queue.use(self.worker("s1-2")))
+            self.assertFalse(self.queue.assign_borrowed_slot(self.worker("n1-0")))
+            self.assertTrue(self.queue.assign_borrowed_slot(self.worker("s1-2")))
             await settle()
             self.assertEqual("s1-2", bound.result().record.worker_id)
 
