--- a/mountstand/jobs/runner.py
+++ b/mountstand/jobs/runner.py
@@ -297,8 +297,8 @@
         try:
             service = self._context.shares.choose(route)
             urgency = self._urgency(route, service, progress)
-            pool = self._context.directory.pool(service, self._regions(route))
-            return await self._context.batch_scheduler.acquire(pool, urgency)
+            pool_name = self._context.directory.pool_name(service, self._regions(route))
+            return await self._context.batch_scheduler.acquire(pool_name, urgency)
         finally:
             self._waiting_tasks.discard(task)
 
--- a/mountstand/serving/forwarder.py
+++ b/mountstand/serving/forwarder.py
@@ -92,8 +92,8 @@
         ``on_not_run`` is called at the end if no worker was given the request.
         """
         loop = asyncio.get_running_loop()
-        pool = self._directory.pool(self._shares.choose(route), call.regions)
-        exchange = Exchange(route, call, responder, pool, deadline_s)
+        pool_name = self._directory.pool_name(self._shares.choose(route), call.regions)
+        exchange = Exchange(route, call, responder, pool_name, deadline_s)
         exchange.last_event_id = call.last_event_id
         gone = True
         try:
--- a/mountstand/serving/load_sharing.py
+++ b/mountstand/serving/load_sharing.py
@@ -245,7 +245,7 @@
         counts_by_key: CountsByKey = {}
         for worker in self._directory.workers.values():
             outcomes = worker.health.own
-            if not (worker.in_flight or outcomes.counted_at_s):
+            if not (worker.in_flight or outcomes.decayed_at_s):
                 continue
             outcomes.decay(now_s)
             counts = LoadCounts(
--- a/mountstand/serving/workers.py
+++ b/mountstand/serving/workers.py
@@ -109,7 +109,7 @@
         for record in listed.values():
             self.put(record, now_s)
 
-    def pool(self, service: str, regions: Regions | None) -> str:
+    def pool_name(self, service: str, regions: Regions | None) -> str:
         """Return the name of the workers of a service in ``regions``: the service's own for all."""
         if regions is None:
             return service
@@ -119,11 +119,11 @@
             self._index = None
         return name
 
-    def pool_contains(self, pool: str, worker: Worker) -> bool:
+    def pool_contains(self, pool_name: str, worker: Worker) -> bool:
         """Return whether a pool or service has a worker."""
-        found = self._pool_by_name.get(pool)
+        found = self._pool_by_name.get(pool_name)
         if found is None:
-            return pool == worker.record.service
+            return pool_name == worker.record.service
         allowed = self._geography.allows(found.regions, worker.record.zone)
         return allowed and found.service == worker.record.service
 
--- a/tests/serving/test_residency.py
+++ b/tests/serving/test_residency.py
@@ -73,28 +73,28 @@
             self.directory.put(record(number, zone), 0.0)
         self.queue = OnlineQueue(self.directory, random.Random(2))
         self.batch_scheduler = BatchScheduler(self.directory, self.queue, random.Random(1))
-        self.south = self.directory.pool("llm", SOUTH)
+        self.south = self.directory.pool_name("llm", SOUTH)
 
     def worker(self, worker_id: str) -> Worker:
         return self.directory.workers[worker_id]
 
-    async def ask(self, pool: str) -> asyncio.Task[Worker | None]:
+    async def ask(self, pool_name: str) -> asyncio.Task[Worker | None]:
         times = start_deadlines(asyncio.get_running_loop().time(), 0.3, 2.0)
-        task = asyncio.create_task(self.queue.acquire(pool, EMPTY_PROMPT, times))
+        task = asyncio.create_task(self.queue.acquire(pool_name, EMPTY_PROMPT, times))
         await settle()
         return task
 
     def test_a_bound_request_goes_to_workers_of_its_regions_alone(self) -> None:
-        north = self.directory.pool("llm", NORTH)
-        for pool, zones in ((north, {"n1", "n2"}), (self.south, {"s1"})):
-            chosen = [self.directory.choose(pool, EMPTY_PROMPT, set(), 0.0) for _ in range(60)]
+        north = self.directory.pool_name("llm", NORTH)
+        for pool_name, zones in ((north, {"n1", "n2"}), (self.south, {"s1"})):
+            chosen = [self.directory.choose(pool_name, EMPTY_PROMPT, set(), 0.0) for _ in range(60)]
             self.assertTrue(chosen)
             self.assertTrue({worker.record.zone for worker in chosen if worker} <= zones)
-        self.assertEqual("llm", self.directory.pool("llm", None))
+        self.assertEqual("llm", self.directory.pool_name("llm", None))
 
     def test_no_regions_are_no_workers(self) -> None:
         async def scenario() -> None:
-            task = await self.ask(self.directory.pool("llm", frozenset()))
+            task = await self.ask(self.directory.pool_name("llm", frozenset()))
             self.assertIsNone(task.result(), "refused at once, not waited for")
 
         run_paused(scenario())
