--- a/mountstand/serving/batch_room.py
+++ b/mountstand/serving/batch_room.py
@@ -99,7 +99,7 @@
         self.durations = online.batch_durations
         online.preempt_batch_item = self.preempt_batch_item
         self._waiting: dict[str, list[_Waiter]] = {}
-        self._placements: dict[str, list[Placement]] = {}
+        self._placements_by_worker_id: dict[str, list[Placement]] = {}
 
     async def acquire(self, service: str, urgency: Urgency) -> Placement:
         """Wait for a slot at a worker of ``service``; the caller must release it."""
@@ -117,7 +117,7 @@
         worker = placement.worker
         worker.in_flight -= 1
         worker.batch_in_flight -= 1
-        placements = self._placements.get(worker.record.worker_id, [])
+        placements = self._placements_by_worker_id.get(worker.record.worker_id, [])
         if placement in placements:
             placements.remove(placement)
         self._online.assign_freed_slot(worker, asyncio.get_running_loop().time())
@@ -151,7 +151,7 @@
         """Return the services of this daemon's items that run."""
         return {
             placements[0].worker.record.service
-            for placements in self._placements.values()
+            for placements in self._placements_by_worker_id.values()
             if placements
         }
 
@@ -173,7 +173,7 @@
         return self._preempt_least_urgent(
             [
                 placement
-                for placements in self._placements.values()
+                for placements in self._placements_by_worker_id.values()
                 for placement in placements
                 if self._directory.pool_contains(service, placement.worker)
             ]
@@ -196,7 +196,7 @@
             worker.in_flight += 1
             worker.batch_in_flight += 1
             placement = Placement(worker, waiter.urgency, now_s)
-            self._placements.setdefault(worker.record.worker_id, []).append(placement)
+            self._placements_by_worker_id.setdefault(worker.record.worker_id, []).append(placement)
             waiter.granted.set_result(placement)
             allowance -= 1
 
@@ -224,7 +224,7 @@
             self.preempt_batch_item(service)
 
     def _placements_at(self, worker: Worker) -> list[Placement]:
-        return self._placements.get(worker.record.worker_id, [])
+        return self._placements_by_worker_id.get(worker.record.worker_id, [])
 
     def _preempt_least_urgent(self, placements: list[Placement]) -> Worker | None:
         if not placements:
@@ -237,6 +237,6 @@
 
     def discard_workers_except(self, workers: set[str]) -> None:
         """Drop what is kept of workers that are gone."""
-        for worker_id in [known for known in self._placements if known not in workers]:
-            if not self._placements[worker_id]:
-                del self._placements[worker_id]
+        for worker_id in [known for known in self._placements_by_worker_id if known not in workers]:
+            if not self._placements_by_worker_id[worker_id]:
+                del self._placements_by_worker_id[worker_id]
--- a/tests/jobs/test_jobs.py
+++ b/tests/jobs/test_jobs.py
@@ -257,7 +257,7 @@
             worker = self.fleet.workers[0]
             await eventually(lambda: worker.received, "the item runs")
             await asyncio.sleep(0.25)
-            placement = self.fleet.batch_scheduler._placements["w0"][0]
+            placement = self.fleet.batch_scheduler._placements_by_worker_id["w0"][0]
             placement.preempt()
             self.assert_whole(await daemon.finished(1), 1)
             self.assertTrue(worker.received[1].resume_after >= 1)
