--- a/mountstand/serving/forwarder.py
+++ b/mountstand/serving/forwarder.py
@@ -76,7 +76,7 @@
         self._relay = ReplyRelay(directory, connections, protocol, batch_scheduler)
         self._metrics = metrics
         self._log = ExchangeLog(metrics, log)
-        self.max_idle_per_worker = 4
+        self.max_idle_connections_per_worker = 4
 
     async def forward(
         self,
@@ -260,7 +260,7 @@
         finally:
             exchange.end_reading()
             if connection is not None:
-                self._connections.release(worker, connection, self.max_idle_per_worker)
+                self._connections.release(worker, connection, self.max_idle_connections_per_worker)
             self._leave(exchange, worker, outcome)
 
     def _leave(self, exchange: Exchange, worker: Worker, outcome: Outcome | None) -> None:
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -356,7 +356,7 @@
         services = self.configuration.services.values() if self.configuration else []
         allowed = min((service.max_connections for service in services), default=DEFAULT_ALLOWED)
         share = int(allowed * IDLE_SHARE / max(1, len(self.callers.serving())))
-        self.forwarder.max_idle_per_worker = max(1, min(MOST_IDLE, share))
+        self.forwarder.max_idle_connections_per_worker = max(1, min(MOST_IDLE, share))
         self._limits.use_fleet(self.directory.slots())
 
     def _handle_peer_message(self, sender_id: str, message: GossipMessage) -> None:
