--- a/tests/serving/test_slot_lending.py
+++ b/tests/serving/test_slot_lending.py
@@ -133,10 +133,10 @@
             task = await self.a.ask()
             await asyncio.sleep(0.01)
             self.assertIs(self.a.worker(1), task.result())
-            lent = self.b.worker(1)
-            self.assertEqual(1, lent.lent(self.loop.time()))
+            granted_slots = self.b.worker(1)
+            self.assertEqual(1, granted_slots.granted_slots(self.loop.time()))
             held_s = 2 * self.b.directory.chooser.peer_load_age_s + HELD_S
-            self.assertEqual(0, lent.lent(self.loop.time() + held_s))
+            self.assertEqual(0, granted_slots.granted_slots(self.loop.time() + held_s))
 
         self.scenario(work)
 
@@ -188,7 +188,7 @@
             self.a.end_one(0)
             self.assertIs(self.a.worker(0), await task)
             await asyncio.sleep(0.01)
-            self.assertEqual(0, self.b.worker(1).lent(self.loop.time()))
+            self.assertEqual(0, self.b.worker(1).granted_slots(self.loop.time()))
 
         self.scenario(work)
 
