--- a/mountstand/platform/ingress.py
+++ b/mountstand/platform/ingress.py
@@ -24,7 +24,7 @@
 from mountstand.tenants.errors import KeyNotVerifiable, TenantOverLimit, UnknownKey
 from mountstand.tenants.tenant import Tenant
 from mountstand.transport.headers import Header, number
-from mountstand.transport.responder import Responder, ServerRequest, refuse
+from mountstand.transport.responder import Responder, ServerRequest, reject
 
 MAX_ITEMS = 200
 MAX_PAGE_BYTES = 900_000
@@ -71,7 +71,7 @@
         configuration = self._node.configuration
         addresses = self._node.callers.addresses(configuration, host, zone) if configuration else []
         if not addresses:
-            refuse(responder, RETRY_AFTER_UNAVAILABLE_S)
+            reject(responder, RETRY_AFTER_UNAVAILABLE_S)
             return
         ttl_s = min(RESOLVE_TTL_S, self._node.settings.resolve_ttl_max_s)
         answer = {"addresses": addresses, "ttl_s": ttl_s}
@@ -81,7 +81,7 @@
         """Route one request of a caller."""
         configuration = self._node.configuration
         if configuration is None:
-            refuse(responder, RETRY_AFTER_UNAVAILABLE_S)
+            reject(responder, RETRY_AFTER_UNAVAILABLE_S)
             return
         try:
             await self._dispatch(configuration, request, responder)
@@ -208,9 +208,9 @@
         if outcome is SubmitOutcome.ACCEPTED:
             responder.send(202)
         elif outcome is SubmitOutcome.REFUSED:
-            refuse(responder, RETRY_AFTER_UNAVAILABLE_S)
+            reject(responder, RETRY_AFTER_UNAVAILABLE_S)
         elif outcome is SubmitOutcome.OVER_QUOTA:
-            refuse(responder, RETRY_OVER_QUOTA_S, 429)
+            reject(responder, RETRY_OVER_QUOTA_S, 429)
         elif outcome is SubmitOutcome.ID_TAKEN:
             responder.send(409)
         else:
@@ -229,7 +229,7 @@
                 responder.send(405)
         except StoreError as problem:
             self._node.log.event("job_unsure", job=job_id, cause=type(problem).__name__)
-            refuse(responder, RETRY_AFTER_UNAVAILABLE_S)
+            reject(responder, RETRY_AFTER_UNAVAILABLE_S)
 
     async def _read_job(
         self, job_id: str, request: ServerRequest, responder: Responder, reader: str | None
@@ -270,7 +270,7 @@
         try:
             body = await self._node.jobs.item_body(job_id, item_id, reader)
         except StoreError:
-            refuse(responder, RETRY_AFTER_UNAVAILABLE_S)
+            reject(responder, RETRY_AFTER_UNAVAILABLE_S)
             return
         if body is None:
             responder.send(404)
@@ -283,7 +283,7 @@
     if denial.retry_after_s is None:
         responder.send(denial.http_status)
     else:
-        refuse(responder, denial.retry_after_s, denial.http_status)
+        reject(responder, denial.retry_after_s, denial.http_status)
 
 
 def parse_items(document: bytes) -> tuple[JobItem, ...]:
--- a/mountstand/platform/store_client.py
+++ b/mountstand/platform/store_client.py
@@ -193,7 +193,7 @@
         now_s = asyncio.get_running_loop().time()
         while self._idle:
             connection = self._idle.pop()
-            if connection.open and connection.rested_s(now_s) < IDLE_S:
+            if connection.open and connection.idle_s(now_s) < IDLE_S:
                 return connection
             connection.close()
         try:
--- a/mountstand/serving/connections.py
+++ b/mountstand/serving/connections.py
@@ -127,7 +127,7 @@
         """Learn from an exchange that broke: the worker may have forgotten the connection."""
         now_s = asyncio.get_running_loop().time()
         if connection.was_forgotten(now_s, self._timeout.usual_s):
-            self._rest_limit.note_reset(connection.rested_s(now_s), now_s)
+            self._rest_limit.note_reset(connection.idle_s(now_s), now_s)
 
     def _rested_well(self, connection: ClientConnection, now_s: float) -> bool:
         """Return whether a connection's peer surely has not begun to close it for resting."""
@@ -135,7 +135,7 @@
             allowed_s = UNTOLD_IDLE_S
         else:
             allowed_s = connection.keep_alive_s - KEEP_ALIVE_MARGIN_S
-        return connection.rested_s(now_s) < min(allowed_s, self._rest_limit.value_s(now_s))
+        return connection.idle_s(now_s) < min(allowed_s, self._rest_limit.value_s(now_s))
 
     def _take_pooled(
         self, worker: Worker, now_s: float, repeatable: bool
--- a/mountstand/serving/forwarder.py
+++ b/mountstand/serving/forwarder.py
@@ -36,7 +36,7 @@
     ConnectFailed,
     ReplyBroken,
 )
-from mountstand.transport.responder import Responder, refuse
+from mountstand.transport.responder import Responder, reject
 
 MAX_REFUSALS = 4
 """Workers asked before a request that none took is refused; each costs a round trip."""
@@ -330,7 +330,7 @@
         if exchange.runs == 0:
             full = exchange.refusals > 0
             average_s = RETRY_FULL_S if full else RETRY_AFTER_UNAVAILABLE_S
-            refuse(responder, exchange.blocked_for_s or average_s)
+            reject(responder, exchange.blocked_for_s or average_s)
             return
         responder.send(504 if exchange.cause == "deadline" else 502)
 
--- a/mountstand/transport/http_client.py
+++ b/mountstand/transport/http_client.py
@@ -265,7 +265,7 @@
         """Whether a request may be sent."""
         return self.reusable and self._transport is not None and not self._transport.is_closing()
 
-    def rested_s(self, now_s: float) -> float:
+    def idle_s(self, now_s: float) -> float:
         """Return how long the connection has been idle, or was before its present exchange."""
         if self.idle_since_s is None:
             return 0.0
--- a/mountstand/transport/responder.py
+++ b/mountstand/transport/responder.py
@@ -127,7 +127,7 @@
         self._connection.write(head_bytes(status, headers))
 
 
-def refuse(responder: Responder, retry_after_s: float, status: int = 503) -> None:
+def reject(responder: Responder, retry_after_s: float, status: int = 503) -> None:
     """Refuse a request that has not run and say when to come back."""
     headers: list[Header] = [("Retry-After", f"{retry_after_s:g}")]
     responder.send(status, headers)
