--- a/mountstand/platform/operator_rows.py
+++ b/mountstand/platform/operator_rows.py
@@ -152,7 +152,7 @@
         priority=int(fields.get("priority") or 0),
         public=bool(fields.get("public")),
         regions=_regions(fields),
-        first_event_timeout_s=_patience_s(fields),
+        caller_first_event_timeout_s=_patience_s(fields),
     )
 
 
--- a/mountstand/serving/configuration.py
+++ b/mountstand/serving/configuration.py
@@ -58,13 +58,13 @@
     regions: Regions | None = ANYWHERE
     """Where its requests may be served."""
 
-    first_event_timeout_s: float | None = None
+    caller_first_event_timeout_s: float | None = None
     """How long callers wait for the first event of a stream before they leave, if that is known."""
 
     @property
     def patience_s(self) -> float:
         """How long callers wait for the begin of an answer."""
-        return min(self.timeout_s, self.first_event_timeout_s or self.timeout_s)
+        return min(self.timeout_s, self.caller_first_event_timeout_s or self.timeout_s)
 
     @property
     def repeatable(self) -> bool:
--- a/mountstand/serving/forwarder.py
+++ b/mountstand/serving/forwarder.py
@@ -146,9 +146,13 @@
     async def _wait_for_worker(self, exchange: Exchange, received_at_s: float) -> Worker | None:
         """Return the first worker to try, once one can start the request soon."""
         route = exchange.route
-        start_timeout_s = min(route.start_timeout_s, exchange.deadline_s - received_at_s)
+        caller_start_timeout_s = min(
+            route.caller_start_timeout_s, exchange.deadline_s - received_at_s
+        )
         priority = exchange.call.priority
-        times = start_deadlines(received_at_s, route.target_latency_s, start_timeout_s, priority)
+        times = start_deadlines(
+            received_at_s, route.target_latency_s, caller_start_timeout_s, priority
+        )
         worker = await self._queue.acquire(
             exchange.service, exchange.call.prompt, times, exchange.call
         )
--- a/mountstand/serving/load_groups.py
+++ b/mountstand/serving/load_groups.py
@@ -6,7 +6,7 @@
 In a small fleet every daemon is a head without members, and all tell all.
 
 Heads are the machines with the most processor, and callers are told of as few daemons as carry the
-load of all workers (:func:`serving_members`). Where the heads alone do, word of a request takes one
+load of all workers (:func:`serving_daemons`). Where the heads alone do, word of a request takes one
 digest, and each serving daemon knows a larger part of the load from its own requests.
 
 All daemons derive the groups from the members that they believe to run. Where beliefs differ for a
@@ -97,7 +97,7 @@
     return [peer for peer in listed if peer.zone not in zones] or listed
 
 
-def serving_members(peers: Iterable[Peer], slots: int) -> frozenset[str]:
+def serving_daemons(peers: Iterable[Peer], slots: int) -> frozenset[str]:
     """Return the daemons that callers are told of, for workers with so many slots in all.
 
     These are all daemons of a small fleet; else the heads, and further ones, zone by zone and those
--- a/mountstand/serving/load_sharing.py
+++ b/mountstand/serving/load_sharing.py
@@ -28,7 +28,7 @@
     Peer,
     group_of,
     peers_outside_zones,
-    serving_members,
+    serving_daemons,
 )
 from mountstand.serving.slot_demand import SlotDemand, WaitingCounts, WorkKind, service_key
 from mountstand.serving.slot_shares import partition_slots
@@ -288,7 +288,7 @@
         self._peers = peers
         self._group = group_of(self._own_peer, peers)
         daemons = peers_outside_zones(peers | {self._own_peer}, self._evacuated_zones)
-        self._serving = serving_members(daemons, slots)
+        self._serving = serving_daemons(daemons, slots)
         self._dealt_for = None
 
     def _deal_slots(self) -> None:
--- a/mountstand/serving_callers.py
+++ b/mountstand/serving_callers.py
@@ -8,7 +8,7 @@
 from mountstand.membership.caller_addresses import addresses_for, in_regions
 from mountstand.membership.registry import DaemonRegistry, DaemonRow
 from mountstand.serving.configuration import Configuration
-from mountstand.serving.load_groups import peers_outside_zones, serving_members
+from mountstand.serving.load_groups import peers_outside_zones, serving_daemons
 from mountstand.serving.residency import Geography
 
 
@@ -45,5 +45,5 @@
         """Return as few of the sound daemons as carry the load."""
         sound = self._registry.sound()
         peers = peers_outside_zones((row.as_peer() for row in sound), self._evacuated_zones())
-        serving = serving_members(peers, self._slots())
+        serving = serving_daemons(peers, self._slots())
         return [row for row in sound if row.name in serving]
--- a/mountstand/serving_limits.py
+++ b/mountstand/serving_limits.py
@@ -11,7 +11,7 @@
 from mountstand.membership.datagrams import DatagramMembership
 from mountstand.membership.message_link import MembershipMessageLink
 from mountstand.membership.registry import DaemonRegistry
-from mountstand.serving.load_groups import serving_members
+from mountstand.serving.load_groups import serving_daemons
 from mountstand.serving_settings import ServingSettings
 from mountstand.store.rows import RowStore
 from mountstand.telemetry.decisions import DecisionLog
@@ -75,10 +75,10 @@
         loop = asyncio.get_running_loop()
         listed = [row.as_peer() for row in self._registry.listed()]
         leaving = [row.as_peer() for row in self._registry.leaving()]
-        served_lately = serving_members([*listed, *leaving], slots)
+        served_lately = serving_daemons([*listed, *leaving], slots)
         hold_s = self._window_s() + LOAN_S
         self.standing.use(
-            serving_members(listed, slots),
+            serving_daemons(listed, slots),
             self._membership.live_names(),
             loop.time(),
             served_lately & {peer.member_id for peer in leaving},
--- a/tests/serving/test_load_groups.py
+++ b/tests/serving/test_load_groups.py
@@ -12,7 +12,7 @@
     MOST_HEADS,
     Peer,
     group_of,
-    serving_members,
+    serving_daemons,
 )
 from mountstand.serving.load_sharing import LoadSharing
 from mountstand.serving.workers import WorkerDirectory
@@ -72,25 +72,25 @@
 
     def test_a_small_fleet_serves_whole(self) -> None:
         fleet = peers(MOST_HEADS)
-        self.assertEqual({peer.member_id for peer in fleet}, serving_members(fleet, 10))
+        self.assertEqual({peer.member_id for peer in fleet}, serving_daemons(fleet, 10))
 
     def test_heads_serve_alone_while_they_carry_the_load(self) -> None:
         fleet = self.fleet()
         heads = group_of(fleet[40], fleet).heads
         carried = int(len(heads) * self.LARGE_CORES / CORES_PER_SLOT)
-        self.assertEqual(heads, serving_members(fleet, carried))
-        self.assertLess(len(heads), len(serving_members(fleet, carried + 100)))
+        self.assertEqual(heads, serving_daemons(fleet, carried))
+        self.assertLess(len(heads), len(serving_daemons(fleet, carried + 100)))
 
     def test_more_serve_as_the_workers_are_more_and_all_in_the_end(self) -> None:
         fleet = self.fleet()
-        counts = [len(serving_members(fleet, slots)) for slots in range(0, 3000, 100)]
+        counts = [len(serving_daemons(fleet, slots)) for slots in range(0, 3000, 100)]
         self.assertEqual(sorted(counts), counts)
         self.assertEqual(90, counts[-1])
 
     def test_every_zone_serves(self) -> None:
         fleet = self.fleet()
         zone_by_id = {peer.member_id: peer.zone for peer in fleet}
-        zones = {zone_by_id[member] for member in serving_members(fleet, 600)}
+        zones = {zone_by_id[member] for member in serving_daemons(fleet, 600)}
         self.assertEqual(set(ZONES), zones)
 
 
