--- a/mountstand/serving/batch_room.py
+++ b/mountstand/serving/batch_room.py
@@ -235,7 +235,7 @@
         placement.preempt()
         return placement.worker
 
-    def discard_workers_except(self, workers: set[str]) -> None:
+    def prune_placements(self, workers: set[str]) -> None:
         """Drop what is kept of workers that are gone."""
         for worker_id in [known for known in self._placements_by_worker_id if known not in workers]:
             if not self._placements_by_worker_id[worker_id]:
--- a/mountstand/serving/online_queue.py
+++ b/mountstand/serving/online_queue.py
@@ -199,7 +199,7 @@
         """The services and pools that requests wait for at this daemon."""
         return {pool for pool, waiting in self._waiting.items() if waiting}
 
-    def has_local_waiting(self, service: str) -> bool:
+    def has_waiting_requests(self, service: str) -> bool:
         """Return whether requests wait at this daemon."""
         return bool(self._waiting.get(service))
 
@@ -226,7 +226,7 @@
     # Slots of other daemons
 
     def _lends(self, service: str) -> bool:
-        return self.lending is not None and self.lending.can_borrow(service)
+        return self.lending is not None and self.lending.slots_are_partitioned(service)
 
     def _choose_now(
         self, service: str, prompt: Prompt, times: StartTimes, now_s: float
@@ -246,7 +246,7 @@
         workers = self._directory.active_workers(service)
         online = sum(worker.online for worker in workers)
         chooser = self._directory.chooser
-        unseen = chooser.durations.expected_arrivals(service, online, chooser.peer_load_age_s)
+        unseen = chooser.durations.estimated_recent_starts(service, online, chooser.peer_load_age_s)
         return unseen * TIGHT_FACTOR > self.room(service, now_s)
 
     def _borrow(self, service: str) -> None:
--- a/mountstand/serving/slot_lending.py
+++ b/mountstand/serving/slot_lending.py
@@ -85,7 +85,7 @@
         self.assign_borrowed_slot: Callable[[Worker], bool] = lambda worker: False
         self._unserved_by_service: dict[str, deque[_Unserved]] = {}
 
-    def can_borrow(self, service: str) -> bool:
+    def slots_are_partitioned(self, service: str) -> bool:
         """Return whether there are daemons to ask."""
         return bool(self._directory.chooser.slot_owners_by_service.get(service))
 
--- a/mountstand/serving/spread.py
+++ b/mountstand/serving/spread.py
@@ -15,7 +15,7 @@
 """Weight of a new duration in the usual one."""
 
 
-def fill_level_after(fills: Sequence[tuple[float, int]], arrivals: float) -> float:
+def utilization_after(fills: Sequence[tuple[float, int]], arrivals: float) -> float:
     """Return the fill that ``arrivals`` level the emptiest workers to.
 
     ``fills`` are pairs of a worker's fill, as a share of its slots, and its slots.
--- a/mountstand/serving/worker_choice.py
+++ b/mountstand/serving/worker_choice.py
@@ -14,7 +14,7 @@
 from mountstand.hashing import rendezvous_weight
 from mountstand.serving.prompt import Prompt
 from mountstand.serving.slot_shares import SlotsByOwner
-from mountstand.serving.spread import DurationAverages, deficits_below, fill_level_after
+from mountstand.serving.spread import DurationAverages, deficits_below, utilization_after
 from mountstand.serving.worker import Worker
 
 SAMPLE_SIZE = 4
@@ -90,7 +90,7 @@
         if own is not None:
             return own
         spread = self._sample(candidates, SPREAD_SIZE)
-        unseen = self.durations.expected_arrivals(
+        unseen = self.durations.estimated_recent_starts(
             spread[0].record.service,
             sum(worker.peer_online for worker in spread),
             self.peer_load_age_s,
@@ -134,7 +134,7 @@
     ) -> Worker:
         """Choose by chance, the likelier the more a worker lacks to the level of all."""
         fills = _fills(candidates, now_s)
-        lacking = deficits_below(fills, max(TARGET_UTILIZATION, fill_level_after(fills, unseen)))
+        lacking = deficits_below(fills, max(TARGET_UTILIZATION, utilization_after(fills, unseen)))
         weights = [
             lack * tolerated / (tolerated + worker.unread)
             for lack, worker in zip(lacking, candidates, strict=True)
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -164,7 +164,7 @@
         self.queue.lending = self._lending = SlotLending(
             self.directory, settings.name, MembershipMessageLink(self.membership), source_of_chance
         )
-        self._lending.may_lend = lambda service: not self.queue.has_local_waiting(service)
+        self._lending.may_lend = lambda service: not self.queue.has_waiting_requests(service)
         self._lending.preempt_batch_item = self.batch_scheduler.preempt_batch_item
         self._lending.assign_borrowed_slot = self.queue.assign_borrowed_slot
         self._limits = ServingLimits(
--- a/mountstand/serving_periodic.py
+++ b/mountstand/serving_periodic.py
@@ -50,7 +50,7 @@
             await asyncio.sleep(SWEEP_S)
             self._note_pause(loop.time() - began_s - SWEEP_S)
             self._directory.sweep(loop.time())
-            self._batch_scheduler.discard_workers_except(set(self._directory.workers))
+            self._batch_scheduler.prune_placements(set(self._directory.workers))
             listed = {worker.incarnation for worker in self._directory.workers.values()}
             self._connections.sweep(listed, loop.time())
 
--- a/tests/serving/test_held_back.py
+++ b/tests/serving/test_held_back.py
@@ -86,7 +86,7 @@
             worker = harness.fleet.directory.workers["w0"]
             worker.in_flight = 4
             asking = asyncio.create_task(harness.send_request("r1"))
-            await eventually(lambda: harness.fleet.queue.has_local_waiting("llm"), "it waits")
+            await eventually(lambda: harness.fleet.queue.has_waiting_requests("llm"), "it waits")
             block(harness)
             status, _, _ = await asyncio.wait_for(asking, 0.3)
             self.assertEqual(503, status)
--- a/tests/serving/test_slot_lending.py
+++ b/tests/serving/test_slot_lending.py
@@ -72,7 +72,7 @@
         chooser.own_slots = {w: owners[name] for w, owners in dealt.items() if name in owners}
         self.net = Net(name, by_name)
         self.lending = SlotLending(self.directory, name, self.net, random.Random(5))
-        self.lending.may_lend = lambda service: not self.queue.has_local_waiting(service)
+        self.lending.may_lend = lambda service: not self.queue.has_waiting_requests(service)
         self.lending.preempt_batch_item = self.batch_scheduler.preempt_batch_item
         self.lending.assign_borrowed_slot = self.queue.assign_borrowed_slot
         self.queue.lending = self.lending
--- a/tests/serving/test_spread.py
+++ b/tests/serving/test_spread.py
@@ -14,8 +14,8 @@
 from mountstand.serving.spread import (
     DurationAverages,
     deficits_below,
-    fill_level_after,
     round_by_chance,
+    utilization_after,
 )
 from mountstand.serving.workers import WorkerDirectory
 from tests.serving.test_routing import worker_record
@@ -34,7 +34,7 @@
     def test_level(self) -> None:
         for name, fills, arrivals, expected in self.CASES:
             with self.subTest(name):
-                level = fill_level_after(fills, arrivals)
+                level = utilization_after(fills, arrivals)
                 self.assertAlmostEqual(expected, level)
                 self.assertAlmostEqual(arrivals, sum(deficits_below(fills, level)))
 
--- a/tests/serving/test_suspended.py
+++ b/tests/serving/test_suspended.py
@@ -70,7 +70,9 @@
                 worker = harness.fleet.directory.workers["w0"]
                 worker.in_flight = 4
                 asking = asyncio.create_task(harness.send_request("r1"))
-                await eventually(lambda: harness.fleet.queue.has_local_waiting("llm"), "it waits")
+                await eventually(
+                    lambda: harness.fleet.queue.has_waiting_requests("llm"), "it waits"
+                )
                 machine.suspend(SLEEP_S)
                 await asyncio.sleep(0)
                 worker.in_flight = 0
