--- a/mountstand/platform/store_client.py
+++ b/mountstand/platform/store_client.py
@@ -58,7 +58,7 @@
         )
         self._call_timeouts: dict[str, AdaptiveTimeout] = {}
 
-    def use_address(self, address: SocketAddress) -> None:
+    def set_address(self, address: SocketAddress) -> None:
         """Make further calls to ``address``."""
         if address != self._address:
             self._address = address
--- a/mountstand/serving_limits.py
+++ b/mountstand/serving_limits.py
@@ -62,11 +62,11 @@
     def use_settings(self, settings: ServingSettings) -> None:
         """Keep limits as exactly as the settings say."""
         self._settings = settings
-        self._limits.use_tolerance(settings.limit_tolerance)
+        self._limits.set_tolerance(settings.limit_tolerance)
 
-    def use_tenants(self, tenants: TenantIndex) -> None:
+    def set_tenants(self, tenants: TenantIndex) -> None:
         """Keep the limits of a new configuration."""
-        self._limits.use_tenants(tenants)
+        self._limits.set_tenants(tenants)
         if any(tenant.requests_per_s > 0 for tenant in tenants.by_name.values()):
             self._has_limits.set()
 
--- a/mountstand/serving_listeners.py
+++ b/mountstand/serving_listeners.py
@@ -74,7 +74,7 @@
             server.limits = limits
 
     @property
-    def callers_connections(self) -> int:
+    def caller_connections(self) -> int:
         """How many connections callers have open."""
         return len(self._callers.connections) if self._callers is not None else 0
 
@@ -83,7 +83,7 @@
         if self._callers is not None:
             self._callers.announce_close()
 
-    def close_to_callers(self) -> None:
+    def close_caller_listener(self) -> None:
         """Take no new connections of callers, and close those that rest."""
         if self._callers is not None:
             self._callers.stop_listening()
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -94,7 +94,7 @@
 class Store(RowStore, ObjectStore, Protocol):
     """Rows and objects."""
 
-    def use_address(self, address: SocketAddress) -> None:
+    def set_address(self, address: SocketAddress) -> None:
         """Make further calls to ``address``."""
 
 
@@ -339,7 +339,7 @@
 
     def _use_configuration(self, configuration: Configuration) -> None:
         self._listeners.use_limits(configuration.limits)
-        self._limits.use_tenants(configuration.tenants)
+        self._limits.set_tenants(configuration.tenants)
         self._zones.use_configuration(configuration)
 
     def _handle_members(self) -> None:
@@ -397,21 +397,21 @@
         began_s = loop.time()
         end_s = began_s + self.settings.grace_s - STOP_MARGIN_S
         self._stopping = True
-        self.log.event("stop_begun", connections=self._listeners.callers_connections)
+        self.log.event("stop_begun", connections=self._listeners.caller_connections)
         self.membership.leave()
         self._listeners.announce_close()
         self._spawn(self.registry.announce_leaving())
         drained = asyncio.create_task(self.jobs.drain())
         await asyncio.sleep(CLOSE_LISTENERS_AFTER_S)
-        self._listeners.close_to_callers()
+        self._listeners.close_caller_listener()
         await asyncio.sleep(FIRST_REQUEST_S)
         while loop.time() < end_s:
-            if drained.done() and not self._listeners.callers_connections:
+            if drained.done() and not self._listeners.caller_connections:
                 break
             await asyncio.sleep(0.05)
         self.log.event(
             "daemon_stopped",
-            connections_left=self._listeners.callers_connections,
+            connections_left=self._listeners.caller_connections,
             jobs_handed_on=drained.done(),
             after_s=round(loop.time() - began_s, 3),
         )
@@ -433,10 +433,10 @@
             if getattr(settings, field.name) != getattr(self.settings, field.name)
         ]
         self.settings = settings
-        self._store.use_address(settings.store.address)
+        self._store.set_address(settings.store.address)
         self.feeds.use_settings(settings)
         self._limits.use_settings(settings)
-        self._zones.use_tolerance(settings.cold_tolerance)
+        self._zones.set_tolerance(settings.cold_tolerance)
         self.directory.leaving_grace_s = settings.drain_s * LEAVING_USE_SHARE
         self.log.event("reload", changed=changed)
 
--- a/mountstand/serving_zones.py
+++ b/mountstand/serving_zones.py
@@ -72,7 +72,7 @@
         now_s = asyncio.get_running_loop().time()
         self._directory.set_cold_start_limits(cold_start_limit, self._cold_sends, now_s)
 
-    def use_tolerance(self, tolerance: ColdStartTolerance) -> None:
+    def set_tolerance(self, tolerance: ColdStartTolerance) -> None:
         """Keep the bound of cold workers as exactly as this from now on."""
         self._cold_sends.tolerance = tolerance
 
--- a/mountstand/tenants/limits.py
+++ b/mountstand/tenants/limits.py
@@ -174,13 +174,13 @@
         self._part_by_number: dict[int, LimitPart] = {}
         self._question_by_number: dict[int, _Question] = {}
 
-    def use_tolerance(self, tolerance: LimitTolerance) -> None:
+    def set_tolerance(self, tolerance: LimitTolerance) -> None:
         """Keep limits as exactly as this from now on."""
         if tolerance.window_s != self._tolerance.window_s:
             self._part_by_number.clear()
         self._tolerance = tolerance
 
-    def use_tenants(self, tenants: TenantIndex) -> None:
+    def set_tenants(self, tenants: TenantIndex) -> None:
         """Keep the limits of these tenants from now on."""
         limited = [tenant for tenant in tenants.by_name.values() if tenant.requests_per_s > 0]
         self._by_number = {tenant.number: tenant for tenant in limited}
--- a/tests/contract/test_row_store.py
+++ b/tests/contract/test_row_store.py
@@ -23,7 +23,7 @@
 )
 from mountstand.store.watch import TableChange, TableWatcher
 from mountstand.telemetry.serving_metrics import ServingMetrics
-from tests.stand_ins.harness import LineLog, eventually, run
+from tests.stand_ins.harness import RecordingLog, eventually, run
 from tests.stand_ins.paused_clock import run_paused
 from tests.stand_ins.store import StandInStore
 
@@ -164,7 +164,7 @@
                     seen.clear()
                 seen.update({row.key.key: row.value for row in change.rows})
 
-            log = LineLog()
+            log = RecordingLog()
             watcher = TableWatcher(store, "t", ["p", "q"], apply, log)
             task = asyncio.create_task(watcher.run())
             await watcher.loaded.wait()
@@ -191,7 +191,7 @@
             store = MemoryRowStore()
             seen: list[bytes | None] = []
             watcher = TableWatcher(
-                store, "t", ["p"], lambda c: seen.extend(r.value for r in c.rows), LineLog()
+                store, "t", ["p"], lambda c: seen.extend(r.value for r in c.rows), RecordingLog()
             )
             watcher.pause_s = pause_s
             task = asyncio.create_task(watcher.run())
@@ -233,7 +233,7 @@
             store = DeafFeed()
             seen: list[bytes | None] = []
             watcher = TableWatcher(
-                store, "t", ["p"], lambda c: seen.extend(r.value for r in c.rows), LineLog()
+                store, "t", ["p"], lambda c: seen.extend(r.value for r in c.rows), RecordingLog()
             )
             task = asyncio.create_task(watcher.run())
             await watcher.loaded.wait()
--- a/tests/integration/test_peer_tables.py
+++ b/tests/integration/test_peer_tables.py
@@ -14,7 +14,7 @@
 from mountstand.store.rows import RowKey, StoredRow, Transaction
 from mountstand.store.watch import TableChange, TableWatcher
 from mountstand.transport.http_server import HttpServer, ServerLimits
-from tests.stand_ins.harness import LineLog, eventually, run
+from tests.stand_ins.harness import RecordingLog, eventually, run
 
 TABLE = "op"
 
@@ -34,7 +34,7 @@
 
     def __init__(self, store: MemoryRowStore, peer_port: int = 1) -> None:
         self.changes: list[TableChange] = []
-        self.log = LineLog()
+        self.log = RecordingLog()
         self.watcher = TableWatcher(
             store, TABLE, [""], self.changes.append, self.log, keep_rows=True
         )
--- a/tests/model/limit_fleet.py
+++ b/tests/model/limit_fleet.py
@@ -19,7 +19,7 @@
 from mountstand.tenants.stored_marks import StoredMarks
 from mountstand.tenants.tenant import Tenant, TenantIndex
 from mountstand.wire.gossip import TokenAsk, TokenGrant
-from tests.stand_ins.harness import LineLog
+from tests.stand_ins.harness import RecordingLog
 from tests.stand_ins.paused_clock import run_paused
 
 DELAY_S = (0.001, 0.008)
@@ -82,7 +82,7 @@
         standing = Standing(name)
         standing.use(self.names, self.names)
         limits = TenantLimits(standing, Marks(), TOLERANCE, self.rng.getrandbits(62))
-        limits.use_tenants(self.tenants)
+        limits.set_tenants(self.tenants)
         self._gate_by_name[name] = LimitGate(limits, SimulatedLink(self, name), self.rng)
         self._keep_marks(name, limits, now_s)
 
@@ -96,7 +96,7 @@
             name,
             self._store_now_ms,
             lambda: TOLERANCE.window_s,
-            LineLog(),
+            RecordingLog(),
             began_s,
         )
         self._marking_by_name[name] = asyncio.create_task(stored.run())
@@ -104,11 +104,11 @@
     def _store_now_ms(self) -> int:
         return int(self.loop.time() * 1000)
 
-    def use_tenants(self, tenants: list[Tenant]) -> None:
+    def set_tenants(self, tenants: list[Tenant]) -> None:
         """Put other limits into force at all daemons."""
         self.tenants = TenantIndex(tenants)
         for gate in self._gate_by_name.values():
-            gate.limits.use_tenants(self.tenants)
+            gate.limits.set_tenants(self.tenants)
 
     def notice(self) -> None:
         """Let every daemon know whom it can reach."""
--- a/tests/model/test_tenant_limits.py
+++ b/tests/model/test_tenant_limits.py
@@ -51,7 +51,7 @@
 def started(standing: Standing, former: FormerUse = NOTHING_BEFORE) -> TenantLimits:
     """Return the limits of a process that knows what was before it, and whose row says so."""
     limits = TenantLimits(standing, Marks(), TOLERANCE, 7)
-    limits.use_tenants(TenantIndex(TENANTS))
+    limits.set_tenants(TenantIndex(TENANTS))
     limits.use_former(former, 10.0)
     limits.note_marked(UseSnapshot(standing.share, former.by_tenant), 10.0)
     return limits
@@ -185,7 +185,7 @@
             run = Disturbed(5)
             await run.fleet.advance(8.0)
             await run.stream(3.0)
-            run.fleet.use_tenants([SMALL, lower])
+            run.fleet.set_tenants([SMALL, lower])
             run.fleet.admitted_s["large"].clear()
             await run.stream(9.0)
             return run.fleet.most_in_window("large")
@@ -354,7 +354,7 @@
         standing = Standing("a")
         standing.use(["a"], ["a"])
         limits = TenantLimits(standing, Marks(), TOLERANCE, 7)
-        limits.use_tenants(TenantIndex(TENANTS))
+        limits.set_tenants(TenantIndex(TENANTS))
         self.assertAlmostEqual(TOLERANCE.start_of(LARGE), limits.left(LARGE, 0.1))
 
     def test_what_processes_before_used_is_missing_until_its_window_is_over(self) -> None:
@@ -423,7 +423,7 @@
     def test_a_row_names_those_that_used_much_and_few_of_many_tenants(self) -> None:
         tenants = [Tenant(f"t{n}", requests_per_s=10, burst=10) for n in range(1400)]
         limits = self.lone()
-        limits.use_tenants(TenantIndex(tenants))
+        limits.set_tenants(TenantIndex(tenants))
         for n, tenant in enumerate(tenants):
             for _ in range(20 if n % 2 else 2):
                 self.assertTrue(limits.take(tenant, 20.0))
--- a/tests/quarantine/test_service.py
+++ b/tests/quarantine/test_service.py
@@ -21,7 +21,7 @@
 from mountstand.telemetry.serving_metrics import ServingMetrics
 from mountstand.wire.gossip import CrashReport
 from tests.serving.test_worker_ends import call
-from tests.stand_ins.harness import LineLog
+from tests.stand_ins.harness import RecordingLog
 from tests.stand_ins.paused_clock import PausedClockLoop, run_paused
 from tests.stand_ins.report_link import Message, RecordingReportLink
 
@@ -72,7 +72,7 @@
 
     def __init__(self, name: str, network: Network) -> None:
         self.name = name
-        self.log = LineLog()
+        self.log = RecordingLog()
         self.link = RecordingReportLink()
         self.link.deliver = lambda message, receiver: network.deliver(name, message, receiver)
         metrics = ServingMetrics()
--- a/tests/serving/test_caller_access.py
+++ b/tests/serving/test_caller_access.py
@@ -18,7 +18,7 @@
 from mountstand.tenants.marks import FormerUse, Marks, UseSnapshot
 from mountstand.tenants.tenant import Tenant, TenantIndex
 from mountstand.wire.gossip import TokenAsk, TokenGrant
-from tests.stand_ins.harness import LineLog
+from tests.stand_ins.harness import RecordingLog
 from tests.stand_ins.paused_clock import run_paused
 
 TENANT = Tenant("a", ("key-a",), requests_per_s=5, burst=5)
@@ -37,12 +37,12 @@
     """Access at a daemon that is alone."""
 
     def __init__(self, stale: bool = False, began_s: float = 0.0) -> None:
-        self.log = LineLog()
+        self.log = RecordingLog()
         self.metrics = ServingMetrics()
         standing = Standing("d")
         standing.use(["d"], ["d"])
         limits = TenantLimits(standing, Marks(), LimitTolerance(), 1)
-        limits.use_tenants(TENANTS)
+        limits.set_tenants(TENANTS)
         limits.use_former(FormerUse(), began_s)
         limits.note_marked(UseSnapshot(standing.share, {}), began_s)
         gate = LimitGate(limits, NoLink(), random.Random(1))
@@ -91,7 +91,7 @@
 
 class Limit(TestCase):
     def test_a_tenant_over_its_limit_is_told_when_to_come_back(self) -> None:
-        async def scenario() -> tuple[int, TenantOverLimit, LineLog]:
+        async def scenario() -> tuple[int, TenantOverLimit, RecordingLog]:
             access = Access()
             admitted = 0
             while True:
--- a/tests/serving/test_evacuation.py
+++ b/tests/serving/test_evacuation.py
@@ -28,7 +28,7 @@
 from mountstand.store.watch import TableChange
 from tests.serving.test_feeds import row
 from tests.stand_ins.digest_link import RecordingLink
-from tests.stand_ins.harness import LineLog, run
+from tests.stand_ins.harness import RecordingLog, run
 
 
 def record(number: int, zone: str, **changes: object) -> WorkerRecord:
@@ -42,7 +42,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.told: list[frozenset[str]] = []
-        self.log = LineLog()
+        self.log = RecordingLog()
         self.evacuations = ZoneEvacuations(evacuated_zone, self.log, self.told.append)
 
     def tell(self, version: int, zone: str, value: object = None, complete: bool = False) -> None:
@@ -147,7 +147,7 @@
 
     def test_counts_are_told_when_they_change_and_taken_back_in_the_end(self) -> None:
         async def scenario() -> None:
-            store, log = MemoryRowStore(), LineLog()
+            store, log = MemoryRowStore(), RecordingLog()
             directory = WorkerDirectory("c", random.Random(3))
             for number in range(4):
                 directory.put(record(number, "ab"[number % 2]), 0.0)
--- a/tests/serving/test_feeds.py
+++ b/tests/serving/test_feeds.py
@@ -9,7 +9,7 @@
 from mountstand.serving.feeds import ConfigurationState, WorkerDirectorySync
 from mountstand.store.rows import RowKey, StoredRow
 from mountstand.store.watch import TableChange
-from tests.stand_ins.harness import Fleet, LineLog, run
+from tests.stand_ins.harness import Fleet, RecordingLog, run
 
 
 def row(table: str, key: str, version: int, value: object) -> StoredRow:
@@ -25,7 +25,7 @@
 class Configurations(TestCase):
     def test_newest_row_wins_and_an_unreadable_one_changes_nothing(self) -> None:
         seen: list[int] = []
-        log = LineLog()
+        log = RecordingLog()
         state = ConfigurationState(PlatformRows(), log, lambda found: seen.append(found.version))
 
         def tell(version: int, value: object) -> None:
--- a/tests/serving/test_serving_feeds.py
+++ b/tests/serving/test_serving_feeds.py
@@ -17,7 +17,7 @@
 from mountstand.store.memory_rows import MemoryRowStore
 from mountstand.store.rows import StoreRefused
 from mountstand.store.watch import LONGEST_RETRY_S
-from tests.stand_ins.harness import LineLog
+from tests.stand_ins.harness import RecordingLog
 from tests.stand_ins.paused_clock import run_paused
 from tests.unit.test_platform_settings import GOOD
 
@@ -25,9 +25,9 @@
 def feeds(store: MemoryRowStore) -> ServingFeeds:
     """Return feeds that tell nobody."""
     own = DaemonRow("front-1", "t", "127.0.0.1:1", "127.0.0.1", 1, "a")
-    registry = DaemonRegistry(store, own, LineLog(), lambda: None)
+    registry = DaemonRegistry(store, own, RecordingLog(), lambda: None)
     targets = FeedTargets(lambda c: None, lambda c: None, registry, lambda c: None, lambda c: None)
-    return ServingFeeds(store, PlatformRows(), targets, settings_from(GOOD), LineLog())
+    return ServingFeeds(store, PlatformRows(), targets, settings_from(GOOD), RecordingLog())
 
 
 class Clock(TestCase):
--- a/tests/serving/test_suspended.py
+++ b/tests/serving/test_suspended.py
@@ -25,7 +25,7 @@
 from tests.serving.test_forwarder import REPEATABLE, ForwarderHarness
 from tests.serving.test_held_back import ANY_TRY, block
 from tests.serving.test_worker_ends import call
-from tests.stand_ins.harness import LineLog, eventually, route
+from tests.stand_ins.harness import RecordingLog, eventually, route
 from tests.stand_ins.suspended import SuspendedMachine, suspendable
 from tests.stand_ins.worker import silence, whole
 
@@ -54,7 +54,7 @@
         async def work(machine: SuspendedMachine) -> bool:
             store = MemoryRowStore()
             await store.commit(Transaction(puts=[(RowKey("t", "", "k"), b"v")]))
-            watcher = TableWatcher(store, "t", [""], lambda change: None, LineLog())
+            watcher = TableWatcher(store, "t", [""], lambda change: None, RecordingLog())
             following = asyncio.create_task(watcher.run())
             await watcher.loaded.wait()
             following.cancel()
--- a/tests/stand_ins/harness.py
+++ b/tests/stand_ins/harness.py
@@ -80,7 +80,7 @@
     )
 
 
-class LineLog(DecisionLog):
+class RecordingLog(DecisionLog):
     """A decision log that keeps its lines."""
 
     def __init__(self) -> None:
@@ -106,7 +106,7 @@
         self.queue = OnlineQueue(self.directory, random.Random(2))
         self.batch_scheduler = BatchScheduler(self.directory, self.queue, random.Random(1))
         self.metrics = ServingMetrics()
-        self.log = LineLog()
+        self.log = RecordingLog()
         self.crash_detector = WorkerCrashDetector(self.connections, self.metrics, self.log)
         self.link = RecordingReportLink()
         self.quarantine = RequestQuarantine(
--- a/tests/unit/test_member_log.py
+++ b/tests/unit/test_member_log.py
@@ -6,7 +6,7 @@
 
 from mountstand.membership.member import Member, MemberState
 from mountstand.membership.member_log import LINES_PER_S, MemberLog
-from tests.stand_ins.harness import LineLog
+from tests.stand_ins.harness import RecordingLog
 
 
 def member(number: int, state: MemberState = MemberState.ALIVE) -> Member:
@@ -16,7 +16,7 @@
 class Lines(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.log = LineLog()
+        self.log = RecordingLog()
         self.members = MemberLog(self.log)
 
     def test_single_changes_are_told_at_once(self) -> None:
