--- a/mountstand/serving/cold_workers.py
+++ b/mountstand/serving/cold_workers.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 
 from mountstand.limits.dealt import dealt_units
-from mountstand.limits.standing import Standing
+from mountstand.limits.sharing import Standing
 from mountstand.limits.window import SlidingSum
 
 WINDOW_S = 1.0
--- a/mountstand/serving_limits.py
+++ b/mountstand/serving_limits.py
@@ -7,7 +7,7 @@
 import secrets
 from collections.abc import Callable
 
-from mountstand.limits.standing import Standing
+from mountstand.limits.sharing import Standing
 from mountstand.membership.datagrams import DatagramMembership
 from mountstand.membership.message_link import MembershipMessageLink
 from mountstand.membership.registry import DaemonRegistry
--- a/mountstand/serving_zones.py
+++ b/mountstand/serving_zones.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from mountstand.limits.standing import Standing
+from mountstand.limits.sharing import Standing
 from mountstand.serving.batch_room import BatchScheduler
 from mountstand.serving.cold_workers import ColdStartShares, ColdStartTolerance
 from mountstand.serving.configuration import Configuration
--- a/mountstand/tenants/limits.py
+++ b/mountstand/tenants/limits.py
@@ -18,7 +18,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
-from mountstand.limits.standing import Standing
+from mountstand.limits.sharing import Standing
 from mountstand.limits.window import SlidingSum
 from mountstand.tenants.marks import SHARE_TOLERANCE, Amounts, FormerUse, Marks, UseSnapshot
 from mountstand.tenants.tenant import Tenant, TenantIndex
--- a/tests/model/limit_fleet.py
+++ b/tests/model/limit_fleet.py
@@ -10,7 +10,7 @@
 import random
 from collections.abc import Callable, Collection
 
-from mountstand.limits.standing import Standing
+from mountstand.limits.sharing import Standing
 from mountstand.membership.message_link import MessageLink
 from mountstand.store.memory_rows import MemoryRowStore
 from mountstand.tenants.gate import LimitGate
--- a/tests/model/test_cold_workers.py
+++ b/tests/model/test_cold_workers.py
@@ -13,7 +13,7 @@
 from testtools import TestCase
 
 from mountstand.limits.dealt import dealt_units
-from mountstand.limits.standing import Standing
+from mountstand.limits.sharing import Standing
 from mountstand.serving.cold_workers import (
     ColdBudget,
     ColdStartLimit,
--- a/tests/model/test_tenant_limits.py
+++ b/tests/model/test_tenant_limits.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from testtools import TestCase
 
-from mountstand.limits.standing import Standing
+from mountstand.limits.sharing import Standing
 from mountstand.serving_settings import StoreSettings
 from mountstand.tenants.limits import LOAN_S, MARK_SHARE, MOST_TOLD, TenantLimits
 from mountstand.tenants.marks import FormerUse, Marks, UseSnapshot
--- a/tests/serving/test_caller_access.py
+++ b/tests/serving/test_caller_access.py
@@ -8,7 +8,7 @@
 from testtools import ExpectedException, TestCase
 
 from mountstand.errors import MountstandError
-from mountstand.limits.standing import Standing
+from mountstand.limits.sharing import Standing
 from mountstand.membership.message_link import MessageLink
 from mountstand.telemetry.serving_metrics import ServingMetrics
 from mountstand.tenants.access import CallerAccess
--- a/tests/serving/test_evacuation.py
+++ b/tests/serving/test_evacuation.py
@@ -13,7 +13,7 @@
 import orjson
 from testtools import TestCase
 
-from mountstand.limits.standing import Standing
+from mountstand.limits.sharing import Standing
 from mountstand.platform.operator_rows import evacuated_zone
 from mountstand.serving.cold_workers import ColdStartLimit, ColdStartShares, ColdStartTolerance
 from mountstand.serving.evacuation import ZoneEvacuations
--- a/tests/serving/test_forwarder.py
+++ b/tests/serving/test_forwarder.py
@@ -7,7 +7,7 @@
 
 from testtools import TestCase
 
-from mountstand.limits.standing import Standing
+from mountstand.limits.sharing import Standing
 from mountstand.serving.cold_workers import ColdStartLimit, ColdStartShares, ColdStartTolerance
 from mountstand.serving.configuration import RequestKind, Route
 from mountstand.serving.forwarder import Forwarder
