--- a/mountstand/serving_listeners.py
+++ b/mountstand/serving_listeners.py
@@ -68,7 +68,7 @@
                 await server.start(address.host, address.port)
                 self._servers.append(server)
 
-    def use_limits(self, limits: ServerLimits) -> None:
+    def set_limits(self, limits: ServerLimits) -> None:
         """Hold callers to limits from now on."""
         for server in self._servers:
             server.limits = limits
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -338,7 +338,7 @@
         self._zones.apply(change)
 
     def _use_configuration(self, configuration: Configuration) -> None:
-        self._listeners.use_limits(configuration.limits)
+        self._listeners.set_limits(configuration.limits)
         self._limits.set_tenants(configuration.tenants)
         self._zones.use_configuration(configuration)
 
