--- a/mountstand/limits/sharing.py
+++ b/mountstand/limits/sharing.py
@@ -13,7 +13,7 @@
 from collections.abc import Collection
 
 
-class Standing:
+class LimitSharing:
     """One daemon's place among those that serve callers."""
 
     __slots__ = ("_fleet", "_left_at_s", "holds", "own", "peers", "share", "sharers")
--- a/mountstand/serving/cold_workers.py
+++ b/mountstand/serving/cold_workers.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 
 from mountstand.limits.dealt import dealt_units
-from mountstand.limits.sharing import Standing
+from mountstand.limits.sharing import LimitSharing
 from mountstand.limits.window import SlidingSum
 
 WINDOW_S = 1.0
@@ -65,7 +65,7 @@
 
     def __init__(
         self,
-        standing: Standing,
+        standing: LimitSharing,
         tolerance: ColdStartTolerance,
         began_s: float,
         knows_fleet: Callable[[], bool],
--- a/mountstand/serving_limits.py
+++ b/mountstand/serving_limits.py
@@ -7,7 +7,7 @@
 import secrets
 from collections.abc import Callable
 
-from mountstand.limits.sharing import Standing
+from mountstand.limits.sharing import LimitSharing
 from mountstand.membership.datagrams import DatagramMembership
 from mountstand.membership.message_link import MembershipMessageLink
 from mountstand.membership.registry import DaemonRegistry
@@ -42,7 +42,7 @@
         self._membership = membership
         self._registry = registry
         self._settings = settings
-        self.standing = Standing(settings.name)
+        self.standing = LimitSharing(settings.name)
         self._has_limits = asyncio.Event()
         self._later: asyncio.TimerHandle | None = None
         self._limits = TenantLimits(
--- a/mountstand/serving_zones.py
+++ b/mountstand/serving_zones.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from mountstand.limits.sharing import Standing
+from mountstand.limits.sharing import LimitSharing
 from mountstand.serving.batch_room import BatchScheduler
 from mountstand.serving.cold_workers import ColdStartShares, ColdStartTolerance
 from mountstand.serving.configuration import Configuration
@@ -34,7 +34,7 @@
         load_sharing: LoadSharing,
         store: RowStore,
         source: ConfigurationSource,
-        standing: Standing,
+        standing: LimitSharing,
         tolerance: ColdStartTolerance,
         knows_fleet: Callable[[], bool],
         is_writer_for: Callable[[str], bool],
--- a/mountstand/tenants/limits.py
+++ b/mountstand/tenants/limits.py
@@ -18,7 +18,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
-from mountstand.limits.sharing import Standing
+from mountstand.limits.sharing import LimitSharing
 from mountstand.limits.window import SlidingSum
 from mountstand.tenants.marks import SHARE_TOLERANCE, Amounts, FormerUse, Marks, UseSnapshot
 from mountstand.tenants.tenant import Tenant, TenantIndex
@@ -161,7 +161,7 @@
 
     def __init__(
         self,
-        standing: Standing,
+        standing: LimitSharing,
         marks: Marks,
         tolerance: LimitTolerance,
         first_number: int,
--- a/tests/model/limit_fleet.py
+++ b/tests/model/limit_fleet.py
@@ -10,7 +10,7 @@
 import random
 from collections.abc import Callable, Collection
 
-from mountstand.limits.sharing import Standing
+from mountstand.limits.sharing import LimitSharing
 from mountstand.membership.message_link import MessageLink
 from mountstand.store.memory_rows import MemoryRowStore
 from mountstand.tenants.gate import LimitGate
@@ -79,7 +79,7 @@
         """Start a daemon anew: it knows nothing."""
         self.paused.discard(name)
         now_s = self.loop.time()
-        standing = Standing(name)
+        standing = LimitSharing(name)
         standing.use(self.names, self.names)
         limits = TenantLimits(standing, Marks(), TOLERANCE, self.rng.getrandbits(62))
         limits.set_tenants(self.tenants)
--- a/tests/model/test_cold_workers.py
+++ b/tests/model/test_cold_workers.py
@@ -13,7 +13,7 @@
 from testtools import TestCase
 
 from mountstand.limits.dealt import dealt_units
-from mountstand.limits.sharing import Standing
+from mountstand.limits.sharing import LimitSharing
 from mountstand.serving.cold_workers import (
     ColdBudget,
     ColdStartLimit,
@@ -36,7 +36,7 @@
     """One daemon; ``heard_s`` is when it last knew the fleet as it was."""
 
     def __init__(self, name: str, fleet: list[str], now_s: float) -> None:
-        self.standing = Standing(name)
+        self.standing = LimitSharing(name)
         self.heard_s = now_s
         self.running = True
         self.cut = False
--- a/tests/model/test_tenant_limits.py
+++ b/tests/model/test_tenant_limits.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from testtools import TestCase
 
-from mountstand.limits.sharing import Standing
+from mountstand.limits.sharing import LimitSharing
 from mountstand.serving_settings import StoreSettings
 from mountstand.tenants.limits import LOAN_S, MARK_SHARE, MOST_TOLD, TenantLimits
 from mountstand.tenants.marks import FormerUse, Marks, UseSnapshot
@@ -48,7 +48,7 @@
 NOTHING_BEFORE = FormerUse()
 
 
-def started(standing: Standing, former: FormerUse = NOTHING_BEFORE) -> TenantLimits:
+def started(standing: LimitSharing, former: FormerUse = NOTHING_BEFORE) -> TenantLimits:
     """Return the limits of a process that knows what was before it, and whose row says so."""
     limits = TenantLimits(standing, Marks(), TOLERANCE, 7)
     limits.set_tenants(TenantIndex(TENANTS))
@@ -286,7 +286,7 @@
 
 class Lending(TestCase):
     def limits(self, name: str, fleet: tuple[str, ...] = ("a", "b")) -> TenantLimits:
-        standing = Standing(name)
+        standing = LimitSharing(name)
         standing.use(fleet, fleet)
         return started(standing)
 
@@ -335,7 +335,7 @@
     """What a process may use after others, by what the store has of them."""
 
     def lone(self, former: FormerUse = NOTHING_BEFORE) -> TenantLimits:
-        standing = Standing("a")
+        standing = LimitSharing("a")
         standing.use(["a"], ["a"])
         return started(standing, former)
 
@@ -351,7 +351,7 @@
             before = taken
 
     def test_before_the_store_is_read_little_is_there(self) -> None:
-        standing = Standing("a")
+        standing = LimitSharing("a")
         standing.use(["a"], ["a"])
         limits = TenantLimits(standing, Marks(), TOLERANCE, 7)
         limits.set_tenants(TenantIndex(TENANTS))
@@ -408,7 +408,7 @@
         self.assertAlmostEqual(TOLERANCE.whole_of(LARGE), taken, delta=1)
 
     def test_a_part_that_has_grown_is_told_before_more_goes_unmarked(self) -> None:
-        standing = Standing("a")
+        standing = LimitSharing("a")
         standing.use(["a", "b"], ["a"])
         limits = started(standing)
         before = limits.left(LARGE, 20.0)
@@ -506,7 +506,7 @@
     def test_parts_are_even_whoever_is_silent(self) -> None:
         for running, peers in (("abcde", ["b", "c", "d", "e"]), ("ac", ["c"]), ("", [])):
             with self.subTest(running):
-                standing = Standing("a")
+                standing = LimitSharing("a")
                 standing.use(self.FLEET, running)
                 self.assertEqual((1 / 5, peers), (standing.share, standing.peers))
 
@@ -531,7 +531,7 @@
         self.assertLessEqual(run_paused(scenario()), bound(SMALL))
 
     def test_the_part_of_a_daemon_that_left_is_shared_out_once_it_does_not_count(self) -> None:
-        standing = Standing("a")
+        standing = LimitSharing("a")
         standing.use("abcd", "abcd", 100.0, (), 5.5)
         standing.use("abc", "abc", 101.0, "d", 5.5)
         self.assertEqual((1 / 4, True), (standing.share, standing.holds))
@@ -541,12 +541,12 @@
         self.assertEqual(1 / 4, standing.share)
 
     def test_a_process_that_starts_counts_those_that_are_leaving(self) -> None:
-        standing = Standing("a")
+        standing = LimitSharing("a")
         standing.use("ab", "ab", 100.0, "cd", 5.5)
         self.assertEqual(1 / 4, standing.share)
 
     def test_a_daemon_that_does_not_serve_has_no_part_but_may_borrow(self) -> None:
-        standing = Standing("x")
+        standing = LimitSharing("x")
         standing.use(self.FLEET, self.FLEET)
         self.assertEqual((0.0, list(self.FLEET)), (standing.share, standing.peers))
 
--- a/tests/serving/test_caller_access.py
+++ b/tests/serving/test_caller_access.py
@@ -8,7 +8,7 @@
 from testtools import ExpectedException, TestCase
 
 from mountstand.errors import MountstandError
-from mountstand.limits.sharing import Standing
+from mountstand.limits.sharing import LimitSharing
 from mountstand.membership.message_link import MessageLink
 from mountstand.telemetry.serving_metrics import ServingMetrics
 from mountstand.tenants.access import CallerAccess
@@ -39,7 +39,7 @@
     def __init__(self, stale: bool = False, began_s: float = 0.0) -> None:
         self.log = RecordingLog()
         self.metrics = ServingMetrics()
-        standing = Standing("d")
+        standing = LimitSharing("d")
         standing.use(["d"], ["d"])
         limits = TenantLimits(standing, Marks(), LimitTolerance(), 1)
         limits.set_tenants(TENANTS)
--- a/tests/serving/test_evacuation.py
+++ b/tests/serving/test_evacuation.py
@@ -13,7 +13,7 @@
 import orjson
 from testtools import TestCase
 
-from mountstand.limits.sharing import Standing
+from mountstand.limits.sharing import LimitSharing
 from mountstand.platform.operator_rows import evacuated_zone
 from mountstand.serving.cold_workers import ColdStartLimit, ColdStartShares, ColdStartTolerance
 from mountstand.serving.evacuation import ZoneEvacuations
@@ -107,7 +107,7 @@
         self.assertEqual({"a", "b"}, self.chosen(20.0))
 
     def test_workers_that_come_back_are_taken_as_cold(self) -> None:
-        standing = Standing("d1")
+        standing = LimitSharing("d1")
         standing.use(["d1"], ["d1"])
         sends = ColdStartShares(standing, ColdStartTolerance(), 0.0, lambda: True)
         self.directory.set_cold_start_limits({"llm": ColdStartLimit(3.0, 2.0)}, sends, 0.0)
--- a/tests/serving/test_forwarder.py
+++ b/tests/serving/test_forwarder.py
@@ -7,7 +7,7 @@
 
 from testtools import TestCase
 
-from mountstand.limits.sharing import Standing
+from mountstand.limits.sharing import LimitSharing
 from mountstand.serving.cold_workers import ColdStartLimit, ColdStartShares, ColdStartTolerance
 from mountstand.serving.configuration import RequestKind, Route
 from mountstand.serving.forwarder import Forwarder
@@ -414,7 +414,7 @@
         async def body() -> None:
             async with ForwarderHarness(REPEATABLE, (whole(),)) as harness:
                 fleet = harness.fleet
-                standing = Standing("test")
+                standing = LimitSharing("test")
                 standing.use(["test"], ["test"])
                 sends = ColdStartShares(standing, ColdStartTolerance(), float("-inf"), lambda: True)
                 now_s = asyncio.get_running_loop().time()
