--- a/mountstand/serving_feeds.py
+++ b/mountstand/serving_feeds.py
@@ -98,7 +98,7 @@
             random.Random(),
         )
 
-    def use_settings(self, settings: ServingSettings) -> None:
+    def apply_settings(self, settings: ServingSettings) -> None:
         """Ask other seeds from now on, and hold feeds as the bounds allow."""
         self._known_peers.settings = settings
         self._hold(settings)
--- a/mountstand/serving_limits.py
+++ b/mountstand/serving_limits.py
@@ -59,7 +59,7 @@
         )
         self.gate = LimitGate(self._limits, MembershipMessageLink(membership), rng)
 
-    def use_settings(self, settings: ServingSettings) -> None:
+    def apply_settings(self, settings: ServingSettings) -> None:
         """Keep limits as exactly as the settings say."""
         self._settings = settings
         self._limits.set_tolerance(settings.limit_tolerance)
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -434,8 +434,8 @@
         ]
         self.settings = settings
         self._store.set_address(settings.store.address)
-        self.feeds.use_settings(settings)
-        self._limits.use_settings(settings)
+        self.feeds.apply_settings(settings)
+        self._limits.apply_settings(settings)
         self._zones.set_tolerance(settings.cold_tolerance)
         self.directory.leaving_grace_s = settings.drain_s * LEAVING_USE_SHARE
         self.log.event("reload", changed=changed)
--- a/tests/serving/test_serving_feeds.py
+++ b/tests/serving/test_serving_feeds.py
@@ -77,7 +77,7 @@
     def test_feeds_are_held_for_half_of_the_time_out_of_touch(self) -> None:
         async def scenario() -> None:
             followed = feeds(MemoryRowStore())
-            followed.use_settings(replace(settings_from(GOOD), contact_s=5.0, cancel_s=3.0))
+            followed.apply_settings(replace(settings_from(GOOD), contact_s=5.0, cancel_s=3.0))
             counts = await self.calls_in(followed, 30.0)
             self.assertTrue(12 <= counts[followed.workers.table] <= 14, counts)
             self.assertTrue(20 <= counts[followed.jobs.table] <= 22, counts)
@@ -87,7 +87,7 @@
     def test_a_held_feed_that_breaks_is_followed_again_within_the_time_out_of_touch(self) -> None:
         for contact_s in (3.0, 5.0):
             followed = feeds(MemoryRowStore())
-            followed.use_settings(replace(settings_from(GOOD), contact_s=contact_s))
+            followed.apply_settings(replace(settings_from(GOOD), contact_s=contact_s))
             noticed_s = followed.workers.wait_s + FEED_SLACK_S + LONGEST_RETRY_S
             self.assertLessEqual(noticed_s, contact_s)
 
