--- a/mountstand/serving/cold_workers.py
+++ b/mountstand/serving/cold_workers.py
@@ -65,12 +65,12 @@
 
     def __init__(
         self,
-        standing: LimitSharing,
+        limit_sharing: LimitSharing,
         tolerance: ColdStartTolerance,
         began_s: float,
         knows_fleet: Callable[[], bool],
     ) -> None:
-        self._standing = standing
+        self._standing = limit_sharing
         self.tolerance = tolerance
         self._began_s = began_s
         self._knows_fleet = knows_fleet
--- a/mountstand/serving_limits.py
+++ b/mountstand/serving_limits.py
@@ -42,11 +42,11 @@
         self._membership = membership
         self._registry = registry
         self._settings = settings
-        self.standing = LimitSharing(settings.name)
+        self.limit_sharing = LimitSharing(settings.name)
         self._has_limits = asyncio.Event()
         self._later: asyncio.TimerHandle | None = None
         self._limits = TenantLimits(
-            self.standing, Marks(), settings.limit_tolerance, secrets.randbits(NUMBER_BITS)
+            self.limit_sharing, Marks(), settings.limit_tolerance, secrets.randbits(NUMBER_BITS)
         )
         self._stored_marks = StoredMarks(
             self._limits,
@@ -77,14 +77,14 @@
         leaving = [row.as_peer() for row in self._registry.leaving()]
         served_lately = serving_daemons([*listed, *leaving], slots)
         hold_s = self._window_s() + LOAN_S
-        self.standing.use(
+        self.limit_sharing.use(
             serving_daemons(listed, slots),
             self._membership.live_names(),
             loop.time(),
             served_lately & {peer.member_id for peer in leaving},
             hold_s,
         )
-        if self.standing.holds and self._later is None:
+        if self.limit_sharing.holds and self._later is None:
             self._later = loop.call_later(hold_s, self._use_fleet_again, slots)
 
     def _use_fleet_again(self, slots: int) -> None:
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -186,7 +186,7 @@
             self.load_sharing,
             store,
             source,
-            self._limits.standing,
+            self._limits.limit_sharing,
             settings.cold_tolerance,
             lambda: not self._fleet_may_be_stale(),
             lambda zone: self.owners.rank(zone) == 0,
--- a/mountstand/serving_zones.py
+++ b/mountstand/serving_zones.py
@@ -34,7 +34,7 @@
         load_sharing: LoadSharing,
         store: RowStore,
         source: ConfigurationSource,
-        standing: LimitSharing,
+        limit_sharing: LimitSharing,
         tolerance: ColdStartTolerance,
         knows_fleet: Callable[[], bool],
         is_writer_for: Callable[[str], bool],
@@ -47,7 +47,7 @@
         self._metrics = metrics
         self._log = log
         began_s = asyncio.get_running_loop().time()
-        self._cold_sends = ColdStartShares(standing, tolerance, began_s, knows_fleet)
+        self._cold_sends = ColdStartShares(limit_sharing, tolerance, began_s, knows_fleet)
         self._evacuations = ZoneEvacuations(source.evacuated_zone, log, self._use_evacuations)
         self._status = EvacuationStatusPublisher(
             store, directory, self._evacuations, source.evacuation_status_key, is_writer_for, log
--- a/mountstand/tenants/gate.py
+++ b/mountstand/tenants/gate.py
@@ -93,7 +93,7 @@
 
     async def _ask_around(self, tenant: Tenant, shortage: _Shortage) -> bool:
         """Ask the others until there is enough or nobody has anything to spare."""
-        peers = self.limits.standing.peers
+        peers = self.limits.limit_sharing.peers
         if len(peers) > MOST_ASKED:
             peers = self._rng.sample(peers, MOST_ASKED)
         for _ in range(MOST_ROUNDS):
--- a/mountstand/tenants/limits.py
+++ b/mountstand/tenants/limits.py
@@ -156,17 +156,17 @@
         "_question_by_number",
         "_tolerance",
         "marks",
-        "standing",
+        "limit_sharing",
     )
 
     def __init__(
         self,
-        standing: LimitSharing,
+        limit_sharing: LimitSharing,
         marks: Marks,
         tolerance: LimitTolerance,
         first_number: int,
     ) -> None:
-        self.standing = standing
+        self.limit_sharing = limit_sharing
         self.marks = marks
         self._tolerance = tolerance
         self._next_number = first_number
@@ -211,7 +211,7 @@
             if number not in numbers:
                 part.marked = self._new_sum()
         by_tenant = {number: self._part_by_number[number].amounts() for number in numbers}
-        return UseSnapshot(self.standing.share, by_tenant)
+        return UseSnapshot(self.limit_sharing.share, by_tenant)
 
     def note_marked(self, snapshot: UseSnapshot, now_s: float) -> None:
         """Note that the store has a row with ``snapshot``."""
@@ -248,7 +248,7 @@
     def left(self, tenant: Tenant, now_s: float) -> float:
         """Return how much of this daemon's own part may be used now."""
         part = self._part(tenant, now_s)
-        share = self.standing.share
+        share = self.limit_sharing.share
         if self.marks.former is None:
             return max(0.0, self._tolerance.start_of(tenant) * share - part.given)
         allowance = self._unmarked_allowance(tenant)
@@ -263,7 +263,7 @@
 
     def _unmarked_allowance(self, tenant: Tenant) -> float:
         """Return how much may be used beyond what the store has, which knows an older share."""
-        share = min(self.standing.share, self.marks.share)
+        share = min(self.limit_sharing.share, self.marks.share)
         return self._tolerance.unmarked_of(tenant) * share
 
     def _part(self, tenant: Tenant, now_s: float) -> LimitPart:
--- a/mountstand/tenants/stored_marks.py
+++ b/mountstand/tenants/stored_marks.py
@@ -82,7 +82,7 @@
             try:
                 former = await self._read()
                 self._starts_s = former.starts_s or (self._began_s,)
-                share = max(former.share, self._limits.standing.share)
+                share = max(former.share, self._limits.limit_sharing.share)
                 snapshot = UseSnapshot(share, former.by_tenant)
                 await self._write(snapshot)
             except StoreError:
--- a/tests/model/limit_fleet.py
+++ b/tests/model/limit_fleet.py
@@ -79,9 +79,9 @@
         """Start a daemon anew: it knows nothing."""
         self.paused.discard(name)
         now_s = self.loop.time()
-        standing = LimitSharing(name)
-        standing.use(self.names, self.names)
-        limits = TenantLimits(standing, Marks(), TOLERANCE, self.rng.getrandbits(62))
+        limit_sharing = LimitSharing(name)
+        limit_sharing.use(self.names, self.names)
+        limits = TenantLimits(limit_sharing, Marks(), TOLERANCE, self.rng.getrandbits(62))
         limits.set_tenants(self.tenants)
         self._gate_by_name[name] = LimitGate(limits, SimulatedLink(self, name), self.rng)
         self._keep_marks(name, limits, now_s)
@@ -117,7 +117,9 @@
                 running = [n for n in self.names if self.reaches(name, n) and n not in self.paused]
                 serving = [n for n in self.names if n not in self.leaving]
                 hold_s = TOLERANCE.window_s + LOAN_S
-                gate.limits.standing.use(serving, running, self.loop.time(), self.leaving, hold_s)
+                gate.limits.limit_sharing.use(
+                    serving, running, self.loop.time(), self.leaving, hold_s
+                )
 
     def ask(self, name: str, tenant_name: str, count: int = 1) -> None:
         """Send requests of a tenant to a daemon."""
--- a/tests/model/test_cold_workers.py
+++ b/tests/model/test_cold_workers.py
@@ -36,17 +36,17 @@
     """One daemon; ``heard_s`` is when it last knew the fleet as it was."""
 
     def __init__(self, name: str, fleet: list[str], now_s: float) -> None:
-        self.standing = LimitSharing(name)
+        self.limit_sharing = LimitSharing(name)
         self.heard_s = now_s
         self.running = True
         self.cut = False
         self.now_s = now_s
         self.sends = ColdStartShares(
-            self.standing, TOLERANCE, now_s, lambda: self.now_s - self.heard_s <= STALE_S
+            self.limit_sharing, TOLERANCE, now_s, lambda: self.now_s - self.heard_s <= STALE_S
         )
         self.budget = ColdBudget("w1", COLD, self.sends)
         self.budget.note_cold(float("inf"))
-        self.standing.use(fleet, fleet, now_s)
+        self.limit_sharing.use(fleet, fleet, now_s)
 
 
 class Fleet:
@@ -77,7 +77,7 @@
     def _hear(self, name: str, daemon: Daemon) -> None:
         daemon.heard_s = self.now_s
         if self.now_s >= self.told_at_s.get(name, 0.0):
-            daemon.standing.use(self.names, self.names, self.now_s, (), 2.0)
+            daemon.limit_sharing.use(self.names, self.names, self.now_s, (), 2.0)
 
     def change(self, names: list[str]) -> None:
         """Let other daemons serve; each of them learns it a little later."""
--- a/tests/model/test_tenant_limits.py
+++ b/tests/model/test_tenant_limits.py
@@ -48,12 +48,12 @@
 NOTHING_BEFORE = FormerUse()
 
 
-def started(standing: LimitSharing, former: FormerUse = NOTHING_BEFORE) -> TenantLimits:
+def started(limit_sharing: LimitSharing, former: FormerUse = NOTHING_BEFORE) -> TenantLimits:
     """Return the limits of a process that knows what was before it, and whose row says so."""
-    limits = TenantLimits(standing, Marks(), TOLERANCE, 7)
+    limits = TenantLimits(limit_sharing, Marks(), TOLERANCE, 7)
     limits.set_tenants(TenantIndex(TENANTS))
     limits.use_former(former, 10.0)
-    limits.note_marked(UseSnapshot(standing.share, former.by_tenant), 10.0)
+    limits.note_marked(UseSnapshot(limit_sharing.share, former.by_tenant), 10.0)
     return limits
 
 
@@ -286,9 +286,9 @@
 
 class Lending(TestCase):
     def limits(self, name: str, fleet: tuple[str, ...] = ("a", "b")) -> TenantLimits:
-        standing = LimitSharing(name)
-        standing.use(fleet, fleet)
-        return started(standing)
+        limit_sharing = LimitSharing(name)
+        limit_sharing.use(fleet, fleet)
+        return started(limit_sharing)
 
     def borrowed(self, limits: TenantLimits, now_s: float) -> float:
         """Return how much more fits than this daemon's own part holds."""
@@ -335,9 +335,9 @@
     """What a process may use after others, by what the store has of them."""
 
     def lone(self, former: FormerUse = NOTHING_BEFORE) -> TenantLimits:
-        standing = LimitSharing("a")
-        standing.use(["a"], ["a"])
-        return started(standing, former)
+        limit_sharing = LimitSharing("a")
+        limit_sharing.use(["a"], ["a"])
+        return started(limit_sharing, former)
 
     def take_all(self, limits: TenantLimits, now_s: float) -> int:
         """Take all that may be taken while the store takes each row; returns how much it was."""
@@ -351,9 +351,9 @@
             before = taken
 
     def test_before_the_store_is_read_little_is_there(self) -> None:
-        standing = LimitSharing("a")
-        standing.use(["a"], ["a"])
-        limits = TenantLimits(standing, Marks(), TOLERANCE, 7)
+        limit_sharing = LimitSharing("a")
+        limit_sharing.use(["a"], ["a"])
+        limits = TenantLimits(limit_sharing, Marks(), TOLERANCE, 7)
         limits.set_tenants(TenantIndex(TENANTS))
         self.assertAlmostEqual(TOLERANCE.start_of(LARGE), limits.left(LARGE, 0.1))
 
@@ -408,13 +408,13 @@
         self.assertAlmostEqual(TOLERANCE.whole_of(LARGE), taken, delta=1)
 
     def test_a_part_that_has_grown_is_told_before_more_goes_unmarked(self) -> None:
-        standing = LimitSharing("a")
-        standing.use(["a", "b"], ["a"])
-        limits = started(standing)
+        limit_sharing = LimitSharing("a")
+        limit_sharing.use(["a", "b"], ["a"])
+        limits = started(limit_sharing)
         before = limits.left(LARGE, 20.0)
         wanted: list[int] = []
         limits.marks.on_wanted = lambda: wanted.append(1)
-        standing.use(["a"], ["a"])
+        limit_sharing.use(["a"], ["a"])
         self.assertAlmostEqual(before, limits.left(LARGE, 30.0))
         self.assertTrue(wanted)
         limits.note_marked(limits.snapshot(30.0), 30.0)
@@ -506,9 +506,9 @@
     def test_parts_are_even_whoever_is_silent(self) -> None:
         for running, peers in (("abcde", ["b", "c", "d", "e"]), ("ac", ["c"]), ("", [])):
             with self.subTest(running):
-                standing = LimitSharing("a")
-                standing.use(self.FLEET, running)
-                self.assertEqual((1 / 5, peers), (standing.share, standing.peers))
+                limit_sharing = LimitSharing("a")
+                limit_sharing.use(self.FLEET, running)
+                self.assertEqual((1 / 5, peers), (limit_sharing.share, limit_sharing.peers))
 
     def test_what_daemons_used_that_left_counts_until_their_window_is_over(self) -> None:
         """Three of four stop one after the other; the last must not begin with the whole limit."""
@@ -531,24 +531,24 @@
         self.assertLessEqual(run_paused(scenario()), bound(SMALL))
 
     def test_the_part_of_a_daemon_that_left_is_shared_out_once_it_does_not_count(self) -> None:
-        standing = LimitSharing("a")
-        standing.use("abcd", "abcd", 100.0, (), 5.5)
-        standing.use("abc", "abc", 101.0, "d", 5.5)
-        self.assertEqual((1 / 4, True), (standing.share, standing.holds))
-        standing.use("abc", "abc", 106.6, "d", 5.5)
-        self.assertEqual((1 / 3, False), (standing.share, standing.holds))
-        standing.use("abcd", "abcd", 107.0, (), 5.5)
-        self.assertEqual(1 / 4, standing.share)
+        limit_sharing = LimitSharing("a")
+        limit_sharing.use("abcd", "abcd", 100.0, (), 5.5)
+        limit_sharing.use("abc", "abc", 101.0, "d", 5.5)
+        self.assertEqual((1 / 4, True), (limit_sharing.share, limit_sharing.holds))
+        limit_sharing.use("abc", "abc", 106.6, "d", 5.5)
+        self.assertEqual((1 / 3, False), (limit_sharing.share, limit_sharing.holds))
+        limit_sharing.use("abcd", "abcd", 107.0, (), 5.5)
+        self.assertEqual(1 / 4, limit_sharing.share)
 
     def test_a_process_that_starts_counts_those_that_are_leaving(self) -> None:
-        standing = LimitSharing("a")
-        standing.use("ab", "ab", 100.0, "cd", 5.5)
-        self.assertEqual(1 / 4, standing.share)
+        limit_sharing = LimitSharing("a")
+        limit_sharing.use("ab", "ab", 100.0, "cd", 5.5)
+        self.assertEqual(1 / 4, limit_sharing.share)
 
     def test_a_daemon_that_does_not_serve_has_no_part_but_may_borrow(self) -> None:
-        standing = LimitSharing("x")
-        standing.use(self.FLEET, self.FLEET)
-        self.assertEqual((0.0, list(self.FLEET)), (standing.share, standing.peers))
+        limit_sharing = LimitSharing("x")
+        limit_sharing.use(self.FLEET, self.FLEET)
+        self.assertEqual((0.0, list(self.FLEET)), (limit_sharing.share, limit_sharing.peers))
 
 
 class Sizes(TestCase):
--- a/tests/serving/test_caller_access.py
+++ b/tests/serving/test_caller_access.py
@@ -39,12 +39,12 @@
     def __init__(self, stale: bool = False, began_s: float = 0.0) -> None:
         self.log = RecordingLog()
         self.metrics = ServingMetrics()
-        standing = LimitSharing("d")
-        standing.use(["d"], ["d"])
-        limits = TenantLimits(standing, Marks(), LimitTolerance(), 1)
+        limit_sharing = LimitSharing("d")
+        limit_sharing.use(["d"], ["d"])
+        limits = TenantLimits(limit_sharing, Marks(), LimitTolerance(), 1)
         limits.set_tenants(TENANTS)
         limits.use_former(FormerUse(), began_s)
-        limits.note_marked(UseSnapshot(standing.share, {}), began_s)
+        limits.note_marked(UseSnapshot(limit_sharing.share, {}), began_s)
         gate = LimitGate(limits, NoLink(), random.Random(1))
         self.access = CallerAccess(gate, lambda: stale, self.metrics, self.log)
 
--- a/tests/serving/test_forwarder.py
+++ b/tests/serving/test_forwarder.py
@@ -414,9 +414,11 @@
         async def body() -> None:
             async with ForwarderHarness(REPEATABLE, (whole(),)) as harness:
                 fleet = harness.fleet
-                standing = LimitSharing("test")
-                standing.use(["test"], ["test"])
-                sends = ColdStartShares(standing, ColdStartTolerance(), float("-inf"), lambda: True)
+                limit_sharing = LimitSharing("test")
+                limit_sharing.use(["test"], ["test"])
+                sends = ColdStartShares(
+                    limit_sharing, ColdStartTolerance(), float("-inf"), lambda: True
+                )
                 now_s = asyncio.get_running_loop().time()
                 fleet.directory.set_cold_start_limits(
                     {"llm": ColdStartLimit(5.0, 2.0)}, sends, now_s
