--- a/mountstand/serving_limits.py
+++ b/mountstand/serving_limits.py
@@ -70,7 +70,7 @@
         if any(tenant.requests_per_s > 0 for tenant in tenants.by_name.values()):
             self._has_limits.set()
 
-    def use_fleet(self, slots: int) -> None:
+    def update_fleet(self, slots: int) -> None:
         """Take the daemons that the store lists, before workers with so many slots."""
         loop = asyncio.get_running_loop()
         listed = [row.as_peer() for row in self._registry.listed()]
@@ -90,7 +90,7 @@
     def _use_fleet_again(self, slots: int) -> None:
         """Share out the parts of daemons that left a window ago."""
         self._later = None
-        self.use_fleet(slots)
+        self.update_fleet(slots)
 
     def handle(self, sender: str, message: TokenAsk | TokenGrant) -> None:
         """Take what another daemon asks or lends."""
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -357,7 +357,7 @@
         allowed = min((service.max_connections for service in services), default=DEFAULT_ALLOWED)
         share = int(allowed * IDLE_SHARE / max(1, len(self.callers.serving())))
         self.forwarder.max_idle_connections_per_worker = max(1, min(MOST_IDLE, share))
-        self._limits.use_fleet(self.directory.slots())
+        self._limits.update_fleet(self.directory.slots())
 
     def _handle_peer_message(self, sender_id: str, message: GossipMessage) -> None:
         if isinstance(message, LoadDigest):
