--- a/mountstand/serving/cold_workers.py
+++ b/mountstand/serving/cold_workers.py
@@ -70,7 +70,7 @@
         began_s: float,
         knows_fleet: Callable[[], bool],
     ) -> None:
-        self._standing = limit_sharing
+        self._limit_sharing = limit_sharing
         self.tolerance = tolerance
         self._began_s = began_s
         self._knows_fleet = knows_fleet
@@ -81,14 +81,14 @@
         """Return how many requests this daemon may send a cold worker within a second."""
         if now_s - self._began_s < START_S or not self._knows_fleet():
             return 0
-        sharers = self._standing.sharers
+        sharers = self._limit_sharing.sharers
         if self._dealt_among is not sharers:
             self._dealt_among = sharers
             self._dealt.clear()
         units = self.tolerance.shared_out(cold)
         dealt = self._dealt.get((worker_id, units))
         if dealt is None:
-            dealt = dealt_units(units, worker_id, self._standing.own, sharers)
+            dealt = dealt_units(units, worker_id, self._limit_sharing.own, sharers)
             self._dealt[worker_id, units] = dealt
         return dealt
 
