--- a/mountstand/serving_feeds.py
+++ b/mountstand/serving_feeds.py
@@ -110,7 +110,7 @@
             feed.wait_s = wait_s
         self.jobs.wait_s = min(wait_s, settings.cancel_s * WAIT_SHARE)
 
-    def share_out(self, daemons: int, cancel_s: float) -> None:
+    def limit_job_polling(self, daemons: int, cancel_s: float) -> None:
         """Divide the calls that follow the jobs among so many daemons."""
         longest_s = cancel_s * LONGEST_PAUSE_SHARE
         self.jobs.pause_s = min(longest_s, daemons / JOB_FEED_CALLS_PER_S)
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -340,7 +340,7 @@
     def _use_configuration(self, configuration: Configuration) -> None:
         self._listeners.set_limits(configuration.limits)
         self._limits.set_tenants(configuration.tenants)
-        self._zones.use_configuration(configuration)
+        self._zones.apply_configuration(configuration)
 
     def _handle_members(self) -> None:
         """Note that the fleet changed; changes that come together are taken over at once."""
@@ -352,7 +352,7 @@
         """Share out among the daemons what all of them together may use."""
         self._fleet_change = None
         daemons = max(1, len(self.registry.live()))
-        self.feeds.share_out(daemons, self.settings.cancel_s)
+        self.feeds.limit_job_polling(daemons, self.settings.cancel_s)
         services = self.configuration.services.values() if self.configuration else []
         allowed = min((service.max_connections for service in services), default=DEFAULT_ALLOWED)
         share = int(allowed * IDLE_SHARE / max(1, len(self.callers.serving())))
--- a/mountstand/serving_zones.py
+++ b/mountstand/serving_zones.py
@@ -62,7 +62,7 @@
         """Take changed rows of the operator's table."""
         self._evacuations.apply(change)
 
-    def use_configuration(self, configuration: Configuration) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Take what the workers of each service bear after a start."""
         cold_start_limit = {
             each.name: each.cold_start_limit
--- a/tests/serving/test_serving_feeds.py
+++ b/tests/serving/test_serving_feeds.py
@@ -93,7 +93,7 @@
 
     def test_many_daemons_look_at_jobs_as_seldom_as_the_end_of_one_allows(self) -> None:
         followed = feeds(MemoryRowStore())
-        followed.share_out(10, 3.0)
+        followed.limit_job_polling(10, 3.0)
         self.assertEqual(0.1, followed.jobs.pause_s)
-        followed.share_out(1000, 3.0)
+        followed.limit_job_polling(1000, 3.0)
         self.assertEqual(1.0, followed.jobs.pause_s)
