--- a/mountstand/limits/sharing.py
+++ b/mountstand/limits/sharing.py
@@ -16,7 +16,7 @@
 class LimitSharing:
     """One daemon's place among those that serve callers."""
 
-    __slots__ = ("_fleet", "_left_at_s", "holds", "own", "peers", "share", "sharers")
+    __slots__ = ("_fleet", "_left_at_s", "has_reserved_shares", "own", "peers", "share", "sharers")
 
     def __init__(self, own: str) -> None:
         self.own = own
@@ -29,7 +29,7 @@
         """All daemons that a limit is shared out among, in order: those that serve, and those that
         left so shortly before that their part is kept back."""
 
-        self.holds = False
+        self.has_reserved_shares = False
         """Whether parts of daemons that left are kept back; ``use`` must be called again then."""
 
         self.peers: list[str] = []
@@ -59,7 +59,7 @@
             self._left_at_s.setdefault(name, now_s)
         held = {name for name, at_s in self._left_at_s.items() if now_s - at_s < hold_s}
         self._fleet = fleet
-        self.holds = bool(held)
+        self.has_reserved_shares = bool(held)
         self.sharers = tuple(sorted(fleet | held))
         self.share = 1 / len(self.sharers) if self.own in fleet else 0.0
         self.peers = sorted(fleet & frozenset(running) - {self.own})
--- a/mountstand/serving_limits.py
+++ b/mountstand/serving_limits.py
@@ -84,7 +84,7 @@
             served_lately & {peer.member_id for peer in leaving},
             hold_s,
         )
-        if self.limit_sharing.holds and self._later is None:
+        if self.limit_sharing.has_reserved_shares and self._later is None:
             self._later = loop.call_later(hold_s, self._use_fleet_again, slots)
 
     def _use_fleet_again(self, slots: int) -> None:
--- a/tests/model/test_tenant_limits.py
+++ b/tests/model/test_tenant_limits.py
@@ -534,9 +534,9 @@
         limit_sharing = LimitSharing("a")
         limit_sharing.use("abcd", "abcd", 100.0, (), 5.5)
         limit_sharing.use("abc", "abc", 101.0, "d", 5.5)
-        self.assertEqual((1 / 4, True), (limit_sharing.share, limit_sharing.holds))
+        self.assertEqual((1 / 4, True), (limit_sharing.share, limit_sharing.has_reserved_shares))
         limit_sharing.use("abc", "abc", 106.6, "d", 5.5)
-        self.assertEqual((1 / 3, False), (limit_sharing.share, limit_sharing.holds))
+        self.assertEqual((1 / 3, False), (limit_sharing.share, limit_sharing.has_reserved_shares))
         limit_sharing.use("abcd", "abcd", 107.0, (), 5.5)
         self.assertEqual(1 / 4, limit_sharing.share)
 
