--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -382,7 +382,7 @@
             self.membership.run(),
             self.jobs.run(),
             self._periodic.sweep(),
-            self._periodic.share_load(),
+            self._periodic.balance_load(),
             self._limits.run(),
             self.quarantine.run(),
             self._stored_suspects.run(),
--- a/mountstand/serving_periodic.py
+++ b/mountstand/serving_periodic.py
@@ -54,7 +54,7 @@
             listed = {worker.incarnation for worker in self._directory.workers.values()}
             self._connections.sweep(listed, loop.time())
 
-    async def share_load(self) -> None:
+    async def balance_load(self) -> None:
         """Tell the load, judge workers, and give slots to what waits, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
