--- a/mountstand/limits/dealt.py
+++ b/mountstand/limits/dealt.py
@@ -12,10 +12,10 @@
 from mountstand.hashing import rendezvous_weight
 
 
-def dealt_units(units: int, key: str, own: str, sharers: Collection[str]) -> int:
+def allocated_units(units: int, key: str, own: str, sharers: Collection[str]) -> int:
     """Return how many of ``units`` are ``own``'s, of what ``key`` names; none if it is no sharer.
 
-    >>> sum(dealt_units(7, "w1", name, ("a", "b", "c")) for name in ("a", "b", "c"))
+    >>> sum(allocated_units(7, "w1", name, ("a", "b", "c")) for name in ("a", "b", "c"))
     7
     """
     if own not in sharers:
--- a/mountstand/serving/cold_workers.py
+++ b/mountstand/serving/cold_workers.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from mountstand.limits.dealt import dealt_units
+from mountstand.limits.dealt import allocated_units
 from mountstand.limits.sharing import LimitSharing
 from mountstand.limits.window import SlidingSum
 
@@ -88,7 +88,7 @@
         units = self.tolerance.shared_out(cold)
         dealt = self._dealt.get((worker_id, units))
         if dealt is None:
-            dealt = dealt_units(units, worker_id, self._limit_sharing.own, sharers)
+            dealt = allocated_units(units, worker_id, self._limit_sharing.own, sharers)
             self._dealt[worker_id, units] = dealt
         return dealt
 
--- a/tests/model/test_cold_workers.py
+++ b/tests/model/test_cold_workers.py
@@ -12,7 +12,7 @@
 
 from testtools import TestCase
 
-from mountstand.limits.dealt import dealt_units
+from mountstand.limits.dealt import allocated_units
 from mountstand.limits.sharing import LimitSharing
 from mountstand.serving.cold_workers import (
     ColdBudget,
@@ -106,14 +106,14 @@
         names = [f"d{n}" for n in range(13)]
         for units, size in itertools.product((0, 1, 7, 13, 30), (1, 2, 5, 13)):
             sharers = tuple(names[:size])
-            parts = [dealt_units(units, "w1", name, sharers) for name in sharers]
+            parts = [allocated_units(units, "w1", name, sharers) for name in sharers]
             self.assertEqual(units, sum(parts))
             self.assertTrue(max(parts) - min(parts) <= 1, parts)
-        self.assertEqual(0, dealt_units(30, "w1", "stranger", tuple(names)))
+        self.assertEqual(0, allocated_units(30, "w1", "stranger", tuple(names)))
 
     def test_workers_are_dealt_to_different_daemons(self) -> None:
         names = tuple(f"d{n}" for n in range(60))
-        owners = {n for n in names for w in range(30) if dealt_units(3, f"w{w}", n, names)}
+        owners = {n for n in names for w in range(30) if allocated_units(3, f"w{w}", n, names)}
         self.assertTrue(len(owners) > 40, len(owners))
 
 
