--- a/mountstand/serving_feeds.py
+++ b/mountstand/serving_feeds.py
@@ -128,7 +128,7 @@
         assert latest.now_read_at_s is not None
         return latest.now_ms + int((now_s - latest.now_read_at_s) * 1000)
 
-    def runs(self) -> list[Coroutine[Any, Any, None]]:
+    def run_coroutines(self) -> list[Coroutine[Any, Any, None]]:
         """Return the work that follows the tables, until cancelled."""
         feeds = (self.configuration, self.workers, self.daemons, self.suspects, self.jobs)
         followed = (*feeds, self.peer_tables)
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -377,7 +377,7 @@
         await self.membership.start(self.settings.address, self.settings.gossip_port)
         await self._listeners.start(self.settings, interface, self.feeds.peer_tables.handle)
         for work in (
-            *self.feeds.runs(),
+            *self.feeds.run_coroutines(),
             self._register(),
             self.membership.run(),
             self.jobs.run(),
