--- a/mountstand/jobs/runner.py
+++ b/mountstand/jobs/runner.py
@@ -326,7 +326,7 @@
         configuration = self._context.configuration()
         tenants = configuration.tenants.by_name if configuration else {}
         tenant = tenants.get(self.head.tenant)
-        return route.priority if tenant is None else tenant.priority_before(route.priority)
+        return route.priority if tenant is None else tenant.effective_priority(route.priority)
 
     def _expired(self, route: Route) -> bool:
         age_s = (self._context.store_now_ms() - self.head.accepted_ms) / 1000
--- a/mountstand/platform/ingress.py
+++ b/mountstand/platform/ingress.py
@@ -159,7 +159,7 @@
             last_event_id=number(request.headers.get(names.LAST_EVENT_ID.lower())),
             tenant=tenant_name,
             tenant_weight=tenant.weight if tenant is not None else None,
-            priority=tenant.priority_before(route.priority) if tenant else route.priority,
+            priority=tenant.effective_priority(route.priority) if tenant else route.priority,
             regions=configuration.regions_for(route, tenant_name),
         )
         await self._node.forwarder.forward(
@@ -168,7 +168,7 @@
             responder,
             request.received_at_s,
             self._deadline_s(route, request),
-            lambda: self._node.access.give_back(tenant),
+            lambda: self._node.access.refund(tenant),
         )
 
     def _deadline_s(self, route: Route, request: ServerRequest) -> float:
--- a/mountstand/serving_limits.py
+++ b/mountstand/serving_limits.py
@@ -16,9 +16,9 @@
 from mountstand.store.rows import RowStore
 from mountstand.telemetry.decisions import DecisionLog
 from mountstand.tenants.gate import LimitGate
-from mountstand.tenants.limits import LOAN_S, TenantLimits
-from mountstand.tenants.marks import Marks
-from mountstand.tenants.stored_marks import StoredMarks
+from mountstand.tenants.limits import LOAN_TTL_S, TenantLimits
+from mountstand.tenants.marks import UsageCheckpoint
+from mountstand.tenants.stored_marks import UsageCheckpointWriter
 from mountstand.tenants.tenant import TenantIndex
 from mountstand.wire.gossip import TokenAsk, TokenGrant
 
@@ -46,9 +46,12 @@
         self._has_limits = asyncio.Event()
         self._later: asyncio.TimerHandle | None = None
         self._limits = TenantLimits(
-            self.limit_sharing, Marks(), settings.limit_tolerance, secrets.randbits(NUMBER_BITS)
+            self.limit_sharing,
+            UsageCheckpoint(),
+            settings.limit_tolerance,
+            secrets.randbits(NUMBER_BITS),
         )
-        self._stored_marks = StoredMarks(
+        self._checkpoint_writer = UsageCheckpointWriter(
             self._limits,
             store,
             settings.name,
@@ -76,7 +79,7 @@
         listed = [row.as_peer() for row in self._registry.listed()]
         leaving = [row.as_peer() for row in self._registry.leaving()]
         served_lately = serving_daemons([*listed, *leaving], slots)
-        hold_s = self._window_s() + LOAN_S
+        hold_s = self._window_s() + LOAN_TTL_S
         self.limit_sharing.use(
             serving_daemons(listed, slots),
             self._membership.live_names(),
@@ -99,7 +102,7 @@
     async def run(self) -> None:
         """Keep marks in the store from the first configuration with limits on."""
         await self._has_limits.wait()
-        await self._stored_marks.run()
+        await self._checkpoint_writer.run()
 
     def _window_s(self) -> float:
         return self._settings.limit_tolerance.window_s
--- a/mountstand/tenants/access.py
+++ b/mountstand/tenants/access.py
@@ -38,7 +38,7 @@
 
         Raises ``UnknownKey`` or ``KeyNotVerifiable``.
         """
-        tenant = tenants.of_key(key)
+        tenant = tenants.find_by_key(key)
         if tenant is not None or public or not tenants:
             return tenant
         if key and self._may_be_stale():
@@ -65,7 +65,7 @@
         )
         raise TenantOverLimit(f"tenant {tenant.name}", retry_after_s=retry_after_s)
 
-    def give_back(self, tenant: Tenant | None) -> None:
+    def refund(self, tenant: Tenant | None) -> None:
         """Count a request no more that reached no worker."""
         if tenant is not None:
-            self._gate.give_back(tenant)
+            self._gate.refund(tenant)
--- a/mountstand/tenants/gate.py
+++ b/mountstand/tenants/gate.py
@@ -62,9 +62,9 @@
         """Count a request if it fits into this daemon's part; returns whether it does."""
         return self.limits.take(tenant, self._now_s())
 
-    def give_back(self, tenant: Tenant) -> None:
+    def refund(self, tenant: Tenant) -> None:
         """Count a request no more that reached no worker."""
-        self.limits.give_back(tenant, self._now_s())
+        self.limits.refund(tenant, self._now_s())
 
     async def borrow(self, tenant: Tenant) -> float | None:
         """Count a request with the help of others; returns ``None``, or when one may fit."""
--- a/mountstand/tenants/limits.py
+++ b/mountstand/tenants/limits.py
@@ -20,7 +20,13 @@
 
 from mountstand.limits.sharing import LimitSharing
 from mountstand.limits.window import SlidingSum
-from mountstand.tenants.marks import SHARE_TOLERANCE, Amounts, FormerUse, Marks, UseSnapshot
+from mountstand.tenants.marks import (
+    SHARE_TOLERANCE,
+    Amounts,
+    PriorUsage,
+    UsageCheckpoint,
+    UsageSnapshot,
+)
 from mountstand.tenants.tenant import Tenant, TenantIndex
 from mountstand.wire.gossip import TokenAsk, TokenGrant
 
@@ -50,7 +56,7 @@
 UNITS = 1000
 """Parts of requests travel as whole numbers of thousandths."""
 
-LOAN_S = 0.5
+LOAN_TTL_S = 0.5
 """What was lent must be used within this time after it was asked for."""
 
 
@@ -115,7 +121,7 @@
 
     def amounts(self) -> Amounts:
         """Return what is used and lent, by the time; what is lent counts for a loan longer."""
-        lent = [(at_s + LOAN_S, amount) for at_s, amount in self.lent.entries()]
+        lent = [(at_s + LOAN_TTL_S, amount) for at_s, amount in self.lent.entries()]
         return tuple(sorted([*self.used.entries(), *lent]))
 
     def forget(self, now_s: float) -> None:
@@ -162,7 +168,7 @@
     def __init__(
         self,
         limit_sharing: LimitSharing,
-        marks: Marks,
+        marks: UsageCheckpoint,
         tolerance: LimitTolerance,
         first_number: int,
     ) -> None:
@@ -189,7 +195,7 @@
 
     # The store
 
-    def use_former(self, former: FormerUse, now_s: float) -> None:
+    def apply_prior_usage(self, former: PriorUsage, now_s: float) -> None:
         """Count what the processes before let through, as the store told."""
         self.marks.former = former
         for number, part in self._part_by_number.items():
@@ -197,7 +203,7 @@
         for number in former.by_tenant:
             self._part_of(number, now_s)
 
-    def snapshot(self, now_s: float) -> UseSnapshot:
+    def snapshot(self, now_s: float) -> UsageSnapshot:
         """Return what the row is to say; tenants that it leaves out are unmarked from now on."""
         told: list[tuple[float, int]] = []
         for number, part in self._part_by_number.items():
@@ -211,9 +217,9 @@
             if number not in numbers:
                 part.marked = self._new_sum()
         by_tenant = {number: self._part_by_number[number].amounts() for number in numbers}
-        return UseSnapshot(self.limit_sharing.share, by_tenant)
+        return UsageSnapshot(self.limit_sharing.share, by_tenant)
 
-    def note_marked(self, snapshot: UseSnapshot, now_s: float) -> None:
+    def record_checkpoint(self, snapshot: UsageSnapshot, now_s: float) -> None:
         """Note that the store has a row with ``snapshot``."""
         self.marks.share = snapshot.share
         for number, amounts in snapshot.by_tenant.items():
@@ -236,7 +242,7 @@
         part.used.add(own, now_s)
         return True
 
-    def give_back(self, tenant: Tenant, now_s: float) -> None:
+    def refund(self, tenant: Tenant, now_s: float) -> None:
         """Count a request no more that reached no worker."""
         if tenant.requests_per_s > 0:
             self._part(tenant, now_s).used.add(-1.0, now_s)
@@ -279,7 +285,7 @@
     def _part_of(self, number: int, now_s: float) -> LimitPart:
         part = self._part_by_number.get(number)
         if part is None:
-            lent = SlidingSum(self._tolerance.window_s + LOAN_S)
+            lent = SlidingSum(self._tolerance.window_s + LOAN_TTL_S)
             part = LimitPart(self._new_sum(), lent, self._new_sum(), self._new_sum())
             self._part_by_number[number] = part
             former = self.marks.former
@@ -322,7 +328,7 @@
             if grant.units >= question.units:
                 question.lenders.append(sender)
             self._part(tenant, now_s).borrow(
-                min(lent, self._tolerance.whole_of(tenant)), question.asked_at_s + LOAN_S
+                min(lent, self._tolerance.whole_of(tenant)), question.asked_at_s + LOAN_TTL_S
             )
         return bool(question.unanswered)
 
@@ -334,5 +340,5 @@
     def _forget_questions(self, now_s: float) -> None:
         """Forget questions whose answers would come too late to be used."""
         for number, question in list(self._question_by_number.items()):
-            if now_s - question.asked_at_s >= LOAN_S:
+            if now_s - question.asked_at_s >= LOAN_TTL_S:
                 del self._question_by_number[number]
--- a/mountstand/tenants/marks.py
+++ b/mountstand/tenants/marks.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FormerUse:
+class PriorUsage:
     """What the processes before this one let through, by the clock of this one.
 
     Before each of ``starts_s``, which are those of this process and of others within a window, an
@@ -36,14 +36,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UseSnapshot:
+class UsageSnapshot:
     """What this process let through within the window, by tenant, and its part of every limit."""
 
     share: float
     by_tenant: Mapping[int, Amounts]
 
 
-class Marks:
+class UsageCheckpoint:
     """Whether the row of this process is there, and whether it should be written.
 
     ``on_wanted`` is called when it should be written soon.
@@ -52,7 +52,7 @@
     __slots__ = ("former", "on_wanted", "share")
 
     def __init__(self) -> None:
-        self.former: FormerUse | None = None
+        self.former: PriorUsage | None = None
         """What the store told at the start, ``None`` until it has."""
 
         self.share = 0.0
--- a/mountstand/tenants/stored_marks.py
+++ b/mountstand/tenants/stored_marks.py
@@ -10,8 +10,8 @@
 
 from mountstand.store.rows import ABSENT, RowKey, RowStore, StoreError, Transaction
 from mountstand.telemetry.decisions import DecisionLog
-from mountstand.tenants.limits import LOAN_S, UNITS, TenantLimits
-from mountstand.tenants.marks import Amounts, FormerUse, UseSnapshot
+from mountstand.tenants.limits import LOAN_TTL_S, UNITS, TenantLimits
+from mountstand.tenants.marks import Amounts, PriorUsage, UsageSnapshot
 
 MARKS = "tenant_use"
 """The table of marks; each daemon has one row."""
@@ -27,7 +27,7 @@
 count a quarter of a second too long on average, for a tenth of the bytes."""
 
 
-class StoredMarks:
+class UsageCheckpointWriter:
     """Writes this daemon's row whenever it is wanted.
 
     ``store_now_ms`` returns the store's clock and raises ``StoreError`` where it is not known.
@@ -73,7 +73,7 @@
                 await self._learn_version()
                 self._wanted.set()
                 continue
-            self._limits.note_marked(snapshot, _now_s())
+            self._limits.record_checkpoint(snapshot, _now_s())
             await asyncio.sleep(WRITE_PAUSE_S)
 
     async def _begin(self) -> None:
@@ -83,31 +83,31 @@
                 former = await self._read()
                 self._starts_s = former.starts_s or (self._began_s,)
                 share = max(former.share, self._limits.limit_sharing.share)
-                snapshot = UseSnapshot(share, former.by_tenant)
+                snapshot = UsageSnapshot(share, former.by_tenant)
                 await self._write(snapshot)
             except StoreError:
                 await asyncio.sleep(RETRY_S)
                 continue
-            self._limits.use_former(former, _now_s())
-            self._limits.note_marked(snapshot, _now_s())
+            self._limits.apply_prior_usage(former, _now_s())
+            self._limits.record_checkpoint(snapshot, _now_s())
             if former.starts_s:
                 self._log.event(
                     "limits_held_back", starts=len(former.starts_s), tenants=len(former.by_tenant)
                 )
             return
 
-    async def _read(self) -> FormerUse:
+    async def _read(self) -> PriorUsage:
         key = self._key
         page = await self._store.read(key.table, key.part, key.key, key.key + "\x00", 1)
         self._version = page.rows[0].version if page.rows else ABSENT
         if not page.rows or page.rows[0].value is None:
-            return FormerUse()
+            return PriorUsage()
         now_s = _now_s()
         fields = orjson.loads(page.rows[0].value)
         row_at_s = now_s - (page.now_ms - fields["at_ms"]) / 1000
-        counts_s = now_s - self._window_s() - LOAN_S
+        counts_s = now_s - self._window_s() - LOAN_TTL_S
         starts_s = [row_at_s - age_ms / 1000 for age_ms in fields["start_ages_ms"]]
-        return FormerUse(
+        return PriorUsage(
             (*(at_s for at_s in starts_s if at_s > counts_s), self._began_s),
             float(fields["share"]),
             dict(_decoded(fields["used"], row_at_s, counts_s)),
@@ -120,10 +120,10 @@
         except StoreError as problem:
             self._log.event("mark_unsure", cause=type(problem).__name__)
 
-    async def _write(self, snapshot: UseSnapshot) -> None:
+    async def _write(self, snapshot: UsageSnapshot) -> None:
         """Write the row, unless a late write of the process before came in between."""
         now_s = _now_s()
-        oldest_s = now_s - self._window_s() - LOAN_S
+        oldest_s = now_s - self._window_s() - LOAN_TTL_S
         self._starts_s = tuple(at_s for at_s in self._starts_s if at_s > oldest_s)
         fields = {
             "at_ms": self._store_now_ms(),
--- a/mountstand/tenants/tenant.py
+++ b/mountstand/tenants/tenant.py
@@ -41,7 +41,7 @@
         """
         return self.requests_per_s or None
 
-    def priority_before(self, route_priority: int) -> int:
+    def effective_priority(self, route_priority: int) -> int:
         """Return the priority of this tenant's requests on a route."""
         return route_priority if self.priority is None else self.priority
 
@@ -49,11 +49,13 @@
 class TenantIndex:
     """The tenants of one version of the configuration, by name and by key."""
 
-    __slots__ = ("_by_key", "any_bound", "by_name")
+    __slots__ = ("_by_key", "any_region_restricted", "by_name")
 
     def __init__(self, tenants: Iterable[Tenant] = ()) -> None:
         self.by_name = {tenant.name: tenant for tenant in tenants}
-        self.any_bound = any(tenant.regions is not None for tenant in self.by_name.values())
+        self.any_region_restricted = any(
+            tenant.regions is not None for tenant in self.by_name.values()
+        )
         """Whether requests of some tenants may be served in some regions alone."""
 
         self._by_key = {key: tenant for tenant in self.by_name.values() for key in tenant.keys}
@@ -62,7 +64,7 @@
         """Whether callers need keys at all."""
         return bool(self.by_name)
 
-    def of_key(self, key: str | None) -> Tenant | None:
+    def find_by_key(self, key: str | None) -> Tenant | None:
         """Return the tenant that holds ``key``, or ``None`` where nobody does."""
         return self._by_key.get(key) if key else None
 
--- a/tests/model/limit_fleet.py
+++ b/tests/model/limit_fleet.py
@@ -14,9 +14,9 @@
 from mountstand.membership.message_link import MessageLink
 from mountstand.store.memory_rows import MemoryRowStore
 from mountstand.tenants.gate import LimitGate
-from mountstand.tenants.limits import LOAN_S, LimitTolerance, TenantLimits
-from mountstand.tenants.marks import Marks
-from mountstand.tenants.stored_marks import StoredMarks
+from mountstand.tenants.limits import LOAN_TTL_S, LimitTolerance, TenantLimits
+from mountstand.tenants.marks import UsageCheckpoint
+from mountstand.tenants.stored_marks import UsageCheckpointWriter
 from mountstand.tenants.tenant import Tenant, TenantIndex
 from mountstand.wire.gossip import TokenAsk, TokenGrant
 from tests.stand_ins.harness import RecordingLog
@@ -81,7 +81,7 @@
         now_s = self.loop.time()
         limit_sharing = LimitSharing(name)
         limit_sharing.use(self.names, self.names)
-        limits = TenantLimits(limit_sharing, Marks(), TOLERANCE, self.rng.getrandbits(62))
+        limits = TenantLimits(limit_sharing, UsageCheckpoint(), TOLERANCE, self.rng.getrandbits(62))
         limits.set_tenants(self.tenants)
         self._gate_by_name[name] = LimitGate(limits, SimulatedLink(self, name), self.rng)
         self._keep_marks(name, limits, now_s)
@@ -90,7 +90,7 @@
         former = self._marking_by_name.get(name)
         if former is not None:
             former.cancel()
-        stored = StoredMarks(
+        stored = UsageCheckpointWriter(
             limits,
             self.store,
             name,
@@ -116,7 +116,7 @@
             if name not in self.paused:
                 running = [n for n in self.names if self.reaches(name, n) and n not in self.paused]
                 serving = [n for n in self.names if n not in self.leaving]
-                hold_s = TOLERANCE.window_s + LOAN_S
+                hold_s = TOLERANCE.window_s + LOAN_TTL_S
                 gate.limits.limit_sharing.use(
                     serving, running, self.loop.time(), self.leaving, hold_s
                 )
--- a/tests/model/test_tenant_limits.py
+++ b/tests/model/test_tenant_limits.py
@@ -13,8 +13,8 @@
 
 from mountstand.limits.sharing import LimitSharing
 from mountstand.serving_settings import StoreSettings
-from mountstand.tenants.limits import LOAN_S, MARK_SHARE, MOST_TOLD, TenantLimits
-from mountstand.tenants.marks import FormerUse, Marks, UseSnapshot
+from mountstand.tenants.limits import LOAN_TTL_S, MARK_SHARE, MOST_TOLD, TenantLimits
+from mountstand.tenants.marks import PriorUsage, UsageCheckpoint, UsageSnapshot
 from mountstand.tenants.stored_marks import _encoded
 from mountstand.tenants.tenant import Tenant, TenantIndex
 from mountstand.wire.gossip import GossipBodies, TokenAsk, TokenGrant
@@ -45,15 +45,15 @@
 )
 
 
-NOTHING_BEFORE = FormerUse()
+NOTHING_BEFORE = PriorUsage()
 
 
-def started(limit_sharing: LimitSharing, former: FormerUse = NOTHING_BEFORE) -> TenantLimits:
+def started(limit_sharing: LimitSharing, former: PriorUsage = NOTHING_BEFORE) -> TenantLimits:
     """Return the limits of a process that knows what was before it, and whose row says so."""
-    limits = TenantLimits(limit_sharing, Marks(), TOLERANCE, 7)
+    limits = TenantLimits(limit_sharing, UsageCheckpoint(), TOLERANCE, 7)
     limits.set_tenants(TenantIndex(TENANTS))
-    limits.use_former(former, 10.0)
-    limits.note_marked(UseSnapshot(limit_sharing.share, former.by_tenant), 10.0)
+    limits.apply_prior_usage(former, 10.0)
+    limits.record_checkpoint(UsageSnapshot(limit_sharing.share, former.by_tenant), 10.0)
     return limits
 
 
@@ -257,7 +257,7 @@
             await fleet.advance(10.0)
             for _ in range(100):
                 self.assertTrue(gate.take(SMALL))
-                gate.give_back(SMALL)
+                gate.refund(SMALL)
 
         run_paused(scenario())
 
@@ -300,13 +300,13 @@
         before = b.left(LARGE, 20.0)
         self.assertFalse(a.receive("b", b.lend(a.ask(LARGE, 3.5, ["b"], 20.0), 20.0), 20.0))
         self.assertAlmostEqual(3.5, self.borrowed(a, 20.0))
-        self.assertAlmostEqual(before - 3.5, b.left(LARGE, 20.0 + TOLERANCE.window_s + LOAN_S))
-        self.assertAlmostEqual(before, b.left(LARGE, 20.2 + TOLERANCE.window_s + LOAN_S))
+        self.assertAlmostEqual(before - 3.5, b.left(LARGE, 20.0 + TOLERANCE.window_s + LOAN_TTL_S))
+        self.assertAlmostEqual(before, b.left(LARGE, 20.2 + TOLERANCE.window_s + LOAN_TTL_S))
 
     def test_what_is_borrowed_expires(self) -> None:
         a, b = self.limits("a"), self.limits("b")
         a.receive("b", b.lend(a.ask(LARGE, 3.5, ["b"], 20.0), 20.0), 20.0)
-        self.assertAlmostEqual(0.0, self.borrowed(a, 20.1 + LOAN_S))
+        self.assertAlmostEqual(0.0, self.borrowed(a, 20.1 + LOAN_TTL_S))
 
     def test_an_answer_counts_once_and_only_from_those_asked(self) -> None:
         a, b = self.limits("a"), self.limits("b")
@@ -321,7 +321,7 @@
         a = self.limits("a")
         question = a.ask(LARGE, 1.0, ["b"], 20.0)
         a.receive("b", TokenGrant(question.number + 5, LARGE.number, 1000), 20.0)
-        a.receive("b", TokenGrant(question.number, LARGE.number, 1000), 20.0 + LOAN_S)
+        a.receive("b", TokenGrant(question.number, LARGE.number, 1000), 20.0 + LOAN_TTL_S)
         self.assertAlmostEqual(0.0, self.borrowed(a, 20.0))
 
     def test_a_wrong_peer_cannot_lend_more_than_there_is(self) -> None:
@@ -334,7 +334,7 @@
 class StartsAndMarks(TestCase):
     """What a process may use after others, by what the store has of them."""
 
-    def lone(self, former: FormerUse = NOTHING_BEFORE) -> TenantLimits:
+    def lone(self, former: PriorUsage = NOTHING_BEFORE) -> TenantLimits:
         limit_sharing = LimitSharing("a")
         limit_sharing.use(["a"], ["a"])
         return started(limit_sharing, former)
@@ -343,7 +343,7 @@
         """Take all that may be taken while the store takes each row; returns how much it was."""
         taken = before = 0
         while True:
-            limits.note_marked(limits.snapshot(now_s), now_s)
+            limits.record_checkpoint(limits.snapshot(now_s), now_s)
             while limits.take(LARGE, now_s):
                 taken += 1
             if taken == before:
@@ -353,13 +353,13 @@
     def test_before_the_store_is_read_little_is_there(self) -> None:
         limit_sharing = LimitSharing("a")
         limit_sharing.use(["a"], ["a"])
-        limits = TenantLimits(limit_sharing, Marks(), TOLERANCE, 7)
+        limits = TenantLimits(limit_sharing, UsageCheckpoint(), TOLERANCE, 7)
         limits.set_tenants(TenantIndex(TENANTS))
         self.assertAlmostEqual(TOLERANCE.start_of(LARGE), limits.left(LARGE, 0.1))
 
     def test_what_processes_before_used_is_missing_until_its_window_is_over(self) -> None:
         whole, allowance = TOLERANCE.whole_of(LARGE), TOLERANCE.unmarked_of(LARGE)
-        told = FormerUse((10.0,), 1.0, {LARGE.number: ((8.0, 60.0), (9.5, 20.0))})
+        told = PriorUsage((10.0,), 1.0, {LARGE.number: ((8.0, 60.0), (9.5, 20.0))})
         limits = self.lone(told)
         cases = (
             ("all counts", 10.1, whole - allowance - 80),
@@ -373,7 +373,7 @@
                 self.assertAlmostEqual(left, limits.left(LARGE, now_s))
 
     def test_a_tenant_that_the_store_does_not_name_may_have_used_what_is_unmarked(self) -> None:
-        told = FormerUse((10.0,), 1.0, {SMALL.number: ((8.0, 5.0),)})
+        told = PriorUsage((10.0,), 1.0, {SMALL.number: ((8.0, 5.0),)})
         allowance = TOLERANCE.unmarked_of(LARGE)
         limits = self.lone(told)
         self.assertAlmostEqual(allowance, limits.left(LARGE, 10.1))
@@ -381,7 +381,7 @@
         self.assertAlmostEqual(TOLERANCE.whole_of(LARGE) - allowance, taken, delta=1)
 
     def test_several_starts_within_a_window_count_each(self) -> None:
-        told = FormerUse((8.0, 10.0), 0.4, {})
+        told = PriorUsage((8.0, 10.0), 0.4, {})
         expected = TOLERANCE.whole_of(LARGE) - 2 * 0.4 * TOLERANCE.unmarked_of(LARGE)
         self.assertAlmostEqual(
             min(expected, TOLERANCE.unmarked_of(LARGE)), self.lone(told).left(LARGE, 10.1)
@@ -417,7 +417,7 @@
         limit_sharing.use(["a"], ["a"])
         self.assertAlmostEqual(before, limits.left(LARGE, 30.0))
         self.assertTrue(wanted)
-        limits.note_marked(limits.snapshot(30.0), 30.0)
+        limits.record_checkpoint(limits.snapshot(30.0), 30.0)
         self.assertAlmostEqual(2 * before, limits.left(LARGE, 30.0))
 
     def test_a_row_names_those_that_used_much_and_few_of_many_tenants(self) -> None:
@@ -430,7 +430,7 @@
         snapshot = limits.snapshot(20.0)
         self.assertEqual(MOST_TOLD, len(snapshot.by_tenant))
         self.assertTrue(all(int(t.name[1:]) % 2 for t in tenants if t.number in snapshot.by_tenant))
-        limits.note_marked(snapshot, 20.0)
+        limits.record_checkpoint(snapshot, 20.0)
         allowance = TOLERANCE.unmarked_of(tenants[0])
         self.assertAlmostEqual(allowance - 2, limits.left(tenants[0], 20.0))
 
--- a/tests/unit/test_tenants.py
+++ b/tests/unit/test_tenants.py
@@ -28,7 +28,7 @@
         entry = {"name": "a", "api_keys": [KEY, "k2"], "priority": 1, "rate_per_s": 5, "burst": 7}
         configuration = decoded(tenants=[entry, {"name": "b"}])
         expected = Tenant("a", (KEY, "k2"), 1, 5.0, 7.0)
-        self.assertEqual(expected, configuration.tenants.of_key("k2"))
+        self.assertEqual(expected, configuration.tenants.find_by_key("k2"))
         self.assertEqual(Tenant("b"), configuration.tenants.by_name["b"])
 
     def test_without_tenants_callers_need_no_key(self) -> None:
@@ -37,12 +37,12 @@
 
     def test_an_empty_key_is_nobodys(self) -> None:
         index = TenantIndex([Tenant("a", ("",))])
-        self.assertIsNone(index.of_key(""))
-        self.assertIsNone(index.of_key(None))
+        self.assertIsNone(index.find_by_key(""))
+        self.assertIsNone(index.find_by_key(None))
 
     def test_a_tenants_priority_goes_before_that_of_the_route(self) -> None:
-        self.assertEqual(0, Tenant("a", priority=0).priority_before(2))
-        self.assertEqual(2, Tenant("a").priority_before(2))
+        self.assertEqual(0, Tenant("a", priority=0).effective_priority(2))
+        self.assertEqual(2, Tenant("a").effective_priority(2))
 
     def test_routes_tell_priority_and_whether_they_are_public(self) -> None:
         route = {"name": "r", "host": "h", "path_prefix": "/", "kind": "batch", "service": "s"}
