--- a/mountstand/jobs/item_execution.py
+++ b/mountstand/jobs/item_execution.py
@@ -77,7 +77,7 @@
     directory: WorkerDirectory
     connections: WorkerConnections
     protocol: WorkerProtocol
-    shares: WeightedServiceChooser
+    service_chooser: WeightedServiceChooser
     batch_scheduler: BatchScheduler
     quarantine: RequestQuarantine
     metrics: ServingMetrics
--- a/mountstand/jobs/runner.py
+++ b/mountstand/jobs/runner.py
@@ -295,7 +295,7 @@
         assert task is not None
         self._waiting_tasks.add(task)
         try:
-            service = self._context.shares.choose(route)
+            service = self._context.service_chooser.choose(route)
             urgency = self._urgency(route, service, progress)
             pool_name = self._context.directory.pool_name(service, self._regions(route))
             return await self._context.batch_scheduler.acquire(pool_name, urgency)
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -129,7 +129,7 @@
         self.connections = WorkerConnections()
         self.queue = OnlineQueue(self.directory, source_of_chance)
         self.batch_scheduler = BatchScheduler(self.directory, self.queue, source_of_chance)
-        shares = WeightedServiceChooser(source_of_chance)
+        service_chooser = WeightedServiceChooser(source_of_chance)
         self._build_membership(store)
         self.quarantine = RequestQuarantine(
             settings.name,
@@ -145,7 +145,7 @@
             self.directory,
             self.connections,
             protocol,
-            shares,
+            service_chooser,
             self.queue,
             self.batch_scheduler,
             self.quarantine,
@@ -218,7 +218,7 @@
             settings,
             log,
         )
-        self._build_jobs(store, protocol, shares, parse_document)
+        self._build_jobs(store, protocol, service_chooser, parse_document)
 
     # Construction
 
@@ -259,7 +259,7 @@
         self,
         store: Store,
         protocol: WorkerProtocol,
-        shares: WeightedServiceChooser,
+        service_chooser: WeightedServiceChooser,
         parse_document: Callable[[bytes], tuple[JobItem, ...]],
     ) -> None:
         context = RunnerContext(
@@ -267,7 +267,7 @@
             directory=self.directory,
             connections=self.connections,
             protocol=protocol,
-            shares=shares,
+            service_chooser=service_chooser,
             batch_scheduler=self.batch_scheduler,
             quarantine=self.quarantine,
             metrics=self.metrics,
--- a/tests/jobs/test_jobs.py
+++ b/tests/jobs/test_jobs.py
@@ -62,7 +62,7 @@
             directory=fleet.directory,
             connections=fleet.connections,
             protocol=fleet.protocol,
-            shares=fleet.shares,
+            service_chooser=fleet.service_chooser,
             batch_scheduler=fleet.batch_scheduler,
             quarantine=fleet.quarantine,
             metrics=fleet.metrics,
--- a/tests/serving/test_forwarder.py
+++ b/tests/serving/test_forwarder.py
@@ -46,7 +46,7 @@
             fleet.directory,
             fleet.connections,
             fleet.protocol,
-            fleet.shares,
+            fleet.service_chooser,
             fleet.queue,
             fleet.batch_scheduler,
             fleet.quarantine,
--- a/tests/stand_ins/harness.py
+++ b/tests/stand_ins/harness.py
@@ -102,7 +102,7 @@
         self.directory = WorkerDirectory("zone-a", self.source)
         self.connections = WorkerConnections()
         self.protocol = PlatformWorkerProtocol()
-        self.shares = WeightedServiceChooser(self.source)
+        self.service_chooser = WeightedServiceChooser(self.source)
         self.queue = OnlineQueue(self.directory, random.Random(2))
         self.batch_scheduler = BatchScheduler(self.directory, self.queue, random.Random(1))
         self.metrics = ServingMetrics()
