--- a/mountstand/limits/window.py
+++ b/mountstand/limits/window.py
@@ -36,7 +36,7 @@
         """Return what counts: amounts by the time at which they were added, in rising order."""
         return list(self._amounts)
 
-    def add_earlier(self, entries: Iterable[tuple[float, float]], now_s: float) -> None:
+    def add_backdated(self, entries: Iterable[tuple[float, float]], now_s: float) -> None:
         """Add amounts by the times at which they count from; some may be before what is there."""
         self._amounts = deque(sorted([*self._amounts, *entries]))
         self.total = sum(amount for _, amount in self._amounts)
--- a/mountstand/tenants/limits.py
+++ b/mountstand/tenants/limits.py
@@ -199,7 +199,7 @@
         """Count what the processes before let through, as the store told."""
         self.marks.former = former
         for number, part in self._part_by_number.items():
-            part.used.add_earlier(former.by_tenant.get(number, ()), now_s)
+            part.used.add_backdated(former.by_tenant.get(number, ()), now_s)
         for number in former.by_tenant:
             self._part_of(number, now_s)
 
@@ -226,7 +226,7 @@
             part = self._part_by_number.get(number)
             if part is not None:
                 part.marked = self._new_sum()
-                part.marked.add_earlier(amounts, now_s)
+                part.marked.add_backdated(amounts, now_s)
 
     # Requests
 
@@ -278,7 +278,7 @@
         if former is not None and former.starts_s and not part.counts_former:
             part.counts_former = True
             amount = self._tolerance.unmarked_of(tenant) * former.share
-            part.former.add_earlier([(at_s, amount) for at_s in former.starts_s], now_s)
+            part.former.add_backdated([(at_s, amount) for at_s in former.starts_s], now_s)
         part.forget(now_s)
         return part
 
@@ -290,7 +290,7 @@
             self._part_by_number[number] = part
             former = self.marks.former
             if former is not None and number in former.by_tenant:
-                part.used.add_earlier(former.by_tenant[number], now_s)
+                part.used.add_backdated(former.by_tenant[number], now_s)
         return part
 
     def _new_sum(self) -> SlidingSum:
