--- a/mountstand/jobs/item_execution.py
+++ b/mountstand/jobs/item_execution.py
@@ -158,7 +158,7 @@
         async with asyncio.timeout(FIRST_EVENT_S):
             head = await connection.read_head()
         reading.end()
-        worker.note_response(loop.time())
+        worker.note_reply(loop.time())
         reply_summary = context.protocol.reply_summary(head)
         if reply_summary.load is not None:
             worker.note_load(reply_summary.load, loop.time())
--- a/mountstand/serving/cold_workers.py
+++ b/mountstand/serving/cold_workers.py
@@ -59,7 +59,7 @@
 class ColdStartShares:
     """Which part of what cold workers bear is this daemon's.
 
-    ``began_s`` is when the process started; ``knows_fleet`` returns whether its picture of the
+    ``began_s`` is when the process started; ``has_recent_fleet_view`` returns whether its picture of the
     daemons is fresh.
     """
 
@@ -68,12 +68,12 @@
         limit_sharing: LimitSharing,
         tolerance: ColdStartTolerance,
         began_s: float,
-        knows_fleet: Callable[[], bool],
+        has_recent_fleet_view: Callable[[], bool],
     ) -> None:
         self._limit_sharing = limit_sharing
         self.tolerance = tolerance
         self._began_s = began_s
-        self._knows_fleet = knows_fleet
+        self._knows_fleet = has_recent_fleet_view
         self._dealt: dict[tuple[str, int], int] = {}
         self._dealt_among: tuple[str, ...] = ()
 
@@ -96,23 +96,23 @@
 class ColdBudget:
     """What this daemon may send to one worker while that is cold."""
 
-    __slots__ = ("_sends", "_used", "_worker_id", "cold", "until_s")
+    __slots__ = ("_sends", "_used", "_worker_id", "cold", "cold_until_s")
 
     def __init__(self, worker_id: str, cold: ColdStartLimit, sends: ColdStartShares) -> None:
         self._worker_id = worker_id
         self._sends = sends
         self._used = SlidingSum(WINDOW_S)
         self.cold = cold
-        self.until_s = float("-inf")
+        self.cold_until_s = float("-inf")
         """Until when the worker is cold, as far as is known."""
 
-    def note_cold(self, until_s: float) -> None:
+    def note_cold(self, cold_until_s: float) -> None:
         """Note that the worker is cold until a certain time; word of an earlier end is older."""
-        self.until_s = max(self.until_s, until_s)
+        self.cold_until_s = max(self.cold_until_s, cold_until_s)
 
     def allows(self, now_s: float) -> bool:
         """Return whether a request may be sent to the worker now."""
-        if now_s >= self.until_s:
+        if now_s >= self.cold_until_s:
             return True
         self._used.forget(now_s)
         return self._used.total + 1 <= self._sends.part(self._worker_id, self.cold, now_s)
--- a/mountstand/serving/online_queue.py
+++ b/mountstand/serving/online_queue.py
@@ -276,7 +276,7 @@
 
     def _waiting_for(self, worker: Worker, now_s: float) -> list[_Waiter]:
         """Return, in order, what waits where a worker may be used and its first goes first."""
-        pools = [pool for pool in self._directory.pools_of(worker) if self._waiting.get(pool)]
+        pools = [pool for pool in self._directory.pool_names_of(worker) if self._waiting.get(pool)]
         for pool in pools:
             self._order(pool, now_s)
         ordered = [self._waiting[pool] for pool in pools if self._waiting[pool]]
--- a/mountstand/serving/reply_relay.py
+++ b/mountstand/serving/reply_relay.py
@@ -54,7 +54,7 @@
         """
         head = await self._read_head(exchange, worker, connection)
         now_s = asyncio.get_running_loop().time()
-        worker.note_response(now_s)
+        worker.note_reply(now_s)
         reply_summary = self._protocol.reply_summary(head)
         if reply_summary.load is not None:
             exchange.load = reply_summary.load
--- a/mountstand/serving/worker.py
+++ b/mountstand/serving/worker.py
@@ -92,7 +92,7 @@
     load_at_s: float = float("-inf")
     known_at_load: int = 0
     usual_slowdown: float = 1.0
-    avoid_until_s: float = 0.0
+    backoff_until_s: float = 0.0
     connect_failures: int = 0
     last_contact_s: float = float("-inf")
     last_data_s: float = float("-inf")
@@ -181,7 +181,7 @@
         self.last_contact_s = now_s
         self.connect_failures = 0
 
-    def note_response(self, now_s: float) -> None:
+    def note_reply(self, now_s: float) -> None:
         """Note that the worker said something."""
         self.note_connected(now_s)
         self.last_data_s = now_s
@@ -196,11 +196,11 @@
     def note_peer_reported_unreachable(self, now_s: float) -> None:
         """Avoid the worker for a while on a peer's word, unless it was just heard from."""
         if now_s - self.last_contact_s > PEER_DOUBT_S:
-            self._avoid_as_unreachable(max(self.avoid_until_s, now_s + UNREACHABLE_S))
+            self._avoid_as_unreachable(max(self.backoff_until_s, now_s + UNREACHABLE_S))
 
     def _avoid_as_unreachable(self, until_s: float) -> None:
         """Avoid the worker for a while; it may have started again when it is back."""
-        self.avoid_until_s = until_s
+        self.backoff_until_s = until_s
         self.assume_restarted(until_s)
 
     def assume_restarted(self, at_s: float) -> None:
@@ -210,11 +210,11 @@
 
     def note_overloaded(self, now_s: float) -> None:
         """Avoid the worker for a moment."""
-        self.avoid_until(now_s + FULL_S)
+        self.extend_backoff(now_s + FULL_S)
 
-    def avoid_until(self, until_s: float) -> None:
+    def extend_backoff(self, until_s: float) -> None:
         """Send no new work to the worker until a time, at least."""
-        self.avoid_until_s = max(self.avoid_until_s, until_s)
+        self.backoff_until_s = max(self.backoff_until_s, until_s)
 
     def note_slot_granted(self, until_s: float) -> None:
         """Count a slot as taken that another daemon is about to use."""
@@ -246,7 +246,7 @@
         """
         if self.leaving_since_s is not None or self.evacuated_since_s is not None:
             return False
-        if self.avoid_until_s > now_s or self.health.is_ejected(now_s):
+        if self.backoff_until_s > now_s or self.health.is_ejected(now_s):
             return False
         return self.bears_one(now_s)
 
--- a/mountstand/serving/worker_choice.py
+++ b/mountstand/serving/worker_choice.py
@@ -48,9 +48,9 @@
     this daemon, and ``slot_owners_by_service`` those of all (:mod:`mountstand.serving.slot_shares`).
     """
 
-    def __init__(self, zone: str, source: random.Random) -> None:
+    def __init__(self, zone: str, rng: random.Random) -> None:
         self._zone = zone
-        self._source = source
+        self._source = rng
         self.peer_load_age_s = 0.0
         self.durations = DurationAverages()
         self.own_slots: dict[str, int] = {}
--- a/mountstand/serving/worker_ends.py
+++ b/mountstand/serving/worker_ends.py
@@ -121,7 +121,7 @@
                 turned_away += 1
                 pause_s = TURNED_AWAY_PAUSE_S
                 # Full or dead, it would break off at once whatever is sent to it meanwhile.
-                worker.avoid_until(asyncio.get_running_loop().time() + AVOIDED_S)
+                worker.extend_backoff(asyncio.get_running_loop().time() + AVOIDED_S)
             except ConnectFailed as problem:
                 refusals += problem.refused
             else:
--- a/mountstand/serving/workers.py
+++ b/mountstand/serving/workers.py
@@ -25,7 +25,7 @@
 class WorkerDirectory:
     """All workers that the platform lists, and those that left a moment ago.
 
-    ``leaving_grace_s`` is how long a worker that is leaving may still be used where no other is left.
+    ``withdrawn_grace_s`` is how long a worker that is leaving may still be used where no other is left.
     Indexes are made anew by the first look-up after a change: a start brings thousands of changes
     at once. Where requests may be served in some regions alone, the workers of a service there are
     a pool with a name of its own, which stands for a service in all look-ups.
@@ -34,15 +34,15 @@
     def __init__(
         self,
         zone: str,
-        source: random.Random,
-        leaving_grace_s: float = 1.0,
+        rng: random.Random,
+        withdrawn_grace_s: float = 1.0,
         geography: Geography | None = None,
     ) -> None:
         self.workers: dict[str, Worker] = {}
         self._index: _WorkerIndex | None = None
-        self._source = source
-        self.leaving_grace_s = leaving_grace_s
-        self.chooser = WorkerChooser(zone, source)
+        self._source = rng
+        self.withdrawn_grace_s = withdrawn_grace_s
+        self.chooser = WorkerChooser(zone, rng)
         self._geography = geography or Geography()
         self._pool_by_name: dict[str, _Pool] = {}
         self._evacuated_since_s: dict[str, float] = {}
@@ -127,7 +127,7 @@
         allowed = self._geography.allows(found.regions, worker.record.zone)
         return allowed and found.service == worker.record.service
 
-    def pools_of(self, worker: Worker) -> list[str]:
+    def pool_names_of(self, worker: Worker) -> list[str]:
         """Return the names of all pools that a worker is in, its service's first."""
         pools = [name for name in self._pool_by_name if self.pool_contains(name, worker)]
         return [worker.record.service, *pools]
@@ -210,7 +210,7 @@
             worker
             for worker in self._indexed().leaving_by_service.get(service, [])
             if worker.withdrawn_since_s is not None
-            and now_s - worker.withdrawn_since_s <= self.leaving_grace_s
+            and now_s - worker.withdrawn_since_s <= self.withdrawn_grace_s
         ]
 
     def choose(
@@ -286,7 +286,7 @@
             for worker in self.active_workers(service)
             if worker.record.worker_id not in tried and worker.bears_one(now_s)
         ]
-        reachable = [worker for worker in untried if worker.avoid_until_s <= now_s]
+        reachable = [worker for worker in untried if worker.backoff_until_s <= now_s]
         sound = [worker for worker in reachable if not worker.health.is_ejected(now_s)]
         if sound or reachable:
             return sound or reachable
@@ -294,7 +294,7 @@
             worker
             for worker in self.just_left(service, now_s)
             if worker.record.worker_id not in tried
-            and worker.avoid_until_s <= now_s
+            and worker.backoff_until_s <= now_s
             and worker.bears_one(now_s)
         ]
         return leaving or untried
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -437,7 +437,7 @@
         self.feeds.apply_settings(settings)
         self._limits.apply_settings(settings)
         self._zones.set_tolerance(settings.cold_tolerance)
-        self.directory.leaving_grace_s = settings.drain_s * LEAVING_USE_SHARE
+        self.directory.withdrawn_grace_s = settings.drain_s * LEAVING_USE_SHARE
         self.log.event("reload", changed=changed)
 
     async def _register(self) -> None:
--- a/mountstand/serving_zones.py
+++ b/mountstand/serving_zones.py
@@ -23,7 +23,7 @@
 class ServingZones:
     """Puts evacuations and cold starts into force.
 
-    ``knows_fleet`` returns whether the picture of the daemons is fresh, ``is_writer_for`` whether this
+    ``has_recent_fleet_view`` returns whether the picture of the daemons is fresh, ``is_writer_for`` whether this
     daemon tells the operator of a zone.
     """
 
@@ -36,7 +36,7 @@
         source: ConfigurationSource,
         limit_sharing: LimitSharing,
         tolerance: ColdStartTolerance,
-        knows_fleet: Callable[[], bool],
+        has_recent_fleet_view: Callable[[], bool],
         is_writer_for: Callable[[str], bool],
         metrics: ServingMetrics,
         log: DecisionLog,
@@ -47,7 +47,7 @@
         self._metrics = metrics
         self._log = log
         began_s = asyncio.get_running_loop().time()
-        self._cold_sends = ColdStartShares(limit_sharing, tolerance, began_s, knows_fleet)
+        self._cold_sends = ColdStartShares(limit_sharing, tolerance, began_s, has_recent_fleet_view)
         self._evacuations = ZoneEvacuations(source.evacuated_zone, log, self._use_evacuations)
         self._status = EvacuationStatusPublisher(
             store, directory, self._evacuations, source.evacuation_status_key, is_writer_for, log
--- a/tests/serving/test_evacuation.py
+++ b/tests/serving/test_evacuation.py
@@ -76,7 +76,7 @@
 class Workers(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.directory = WorkerDirectory("c", random.Random(3), leaving_grace_s=1.0)
+        self.directory = WorkerDirectory("c", random.Random(3), withdrawn_grace_s=1.0)
         for number in range(6):
             self.directory.put(record(number, "ab"[number % 2]), 0.0)
 
--- a/tests/serving/test_routing.py
+++ b/tests/serving/test_routing.py
@@ -59,7 +59,7 @@
 class Choice(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.directory = WorkerDirectory("zone-a", random.Random(3), leaving_grace_s=1.0)
+        self.directory = WorkerDirectory("zone-a", random.Random(3), withdrawn_grace_s=1.0)
         for number in range(3):
             self.directory.put(worker_record(number), 0.0)
 
--- a/tests/serving/test_worker_ends.py
+++ b/tests/serving/test_worker_ends.py
@@ -50,7 +50,7 @@
         async def turn_away(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             reset(writer.transport)
             if heard:
-                worker.note_response(asyncio.get_running_loop().time())
+                worker.note_reply(asyncio.get_running_loop().time())
 
         server = await asyncio.start_server(turn_away, "127.0.0.1", worker.record.port)
         self.addCleanup(server.close)
--- a/tests/serving/test_worker_health.py
+++ b/tests/serving/test_worker_health.py
@@ -81,7 +81,7 @@
         self.assertEqual({"w0", "w1", "w2"}, self.chosen(9.0))
 
     def test_peers_word_that_a_worker_is_unreachable(self) -> None:
-        self.directory.workers["w1"].note_response(1.0)
+        self.directory.workers["w1"].note_reply(1.0)
         self.sharing.handle("peer", LoadDigest((), (), (), (), (), self.keys[1:]), 1.1)
         self.assertEqual({"w0", "w1"}, self.chosen(1.1), "w1 was heard from here")
         self.assertEqual({"w0", "w1", "w2"}, self.chosen(2.5))
