--- a/mountstand/limits/sharing.py
+++ b/mountstand/limits/sharing.py
@@ -30,12 +30,12 @@
         left so shortly before that their part is kept back."""
 
         self.has_reserved_shares = False
-        """Whether parts of daemons that left are kept back; ``use`` must be called again then."""
+        """Whether parts of daemons that left are kept back; ``update_members`` must be called again then."""
 
         self.peers: list[str] = []
         """The other daemons that serve and are believed to run."""
 
-    def use(
+    def update_members(
         self,
         fleet: Collection[str],
         running: Collection[str],
--- a/mountstand/serving_limits.py
+++ b/mountstand/serving_limits.py
@@ -80,7 +80,7 @@
         leaving = [row.as_peer() for row in self._registry.leaving()]
         served_lately = serving_daemons([*listed, *leaving], slots)
         hold_s = self._window_s() + LOAN_TTL_S
-        self.limit_sharing.use(
+        self.limit_sharing.update_members(
             serving_daemons(listed, slots),
             self._membership.live_names(),
             loop.time(),
--- a/tests/model/limit_fleet.py
+++ b/tests/model/limit_fleet.py
@@ -80,7 +80,7 @@
         self.paused.discard(name)
         now_s = self.loop.time()
         limit_sharing = LimitSharing(name)
-        limit_sharing.use(self.names, self.names)
+        limit_sharing.update_members(self.names, self.names)
         limits = TenantLimits(limit_sharing, UsageCheckpoint(), TOLERANCE, self.rng.getrandbits(62))
         limits.set_tenants(self.tenants)
         self._gate_by_name[name] = LimitGate(limits, SimulatedLink(self, name), self.rng)
@@ -117,7 +117,7 @@
                 running = [n for n in self.names if self.reaches(name, n) and n not in self.paused]
                 serving = [n for n in self.names if n not in self.leaving]
                 hold_s = TOLERANCE.window_s + LOAN_TTL_S
-                gate.limits.limit_sharing.use(
+                gate.limits.limit_sharing.update_members(
                     serving, running, self.loop.time(), self.leaving, hold_s
                 )
 
--- a/tests/model/test_cold_workers.py
+++ b/tests/model/test_cold_workers.py
@@ -46,7 +46,7 @@
         )
         self.budget = ColdBudget("w1", COLD, self.sends)
         self.budget.note_cold(float("inf"))
-        self.limit_sharing.use(fleet, fleet, now_s)
+        self.limit_sharing.update_members(fleet, fleet, now_s)
 
 
 class Fleet:
@@ -77,7 +77,7 @@
     def _hear(self, name: str, daemon: Daemon) -> None:
         daemon.heard_s = self.now_s
         if self.now_s >= self.told_at_s.get(name, 0.0):
-            daemon.limit_sharing.use(self.names, self.names, self.now_s, (), 2.0)
+            daemon.limit_sharing.update_members(self.names, self.names, self.now_s, (), 2.0)
 
     def change(self, names: list[str]) -> None:
         """Let other daemons serve; each of them learns it a little later."""
--- a/tests/model/test_tenant_limits.py
+++ b/tests/model/test_tenant_limits.py
@@ -287,7 +287,7 @@
 class Lending(TestCase):
     def limits(self, name: str, fleet: tuple[str, ...] = ("a", "b")) -> TenantLimits:
         limit_sharing = LimitSharing(name)
-        limit_sharing.use(fleet, fleet)
+        limit_sharing.update_members(fleet, fleet)
         return started(limit_sharing)
 
     def borrowed(self, limits: TenantLimits, now_s: float) -> float:
@@ -336,7 +336,7 @@
 
     def lone(self, former: PriorUsage = NOTHING_BEFORE) -> TenantLimits:
         limit_sharing = LimitSharing("a")
-        limit_sharing.use(["a"], ["a"])
+        limit_sharing.update_members(["a"], ["a"])
         return started(limit_sharing, former)
 
     def take_all(self, limits: TenantLimits, now_s: float) -> int:
@@ -352,7 +352,7 @@
 
     def test_before_the_store_is_read_little_is_there(self) -> None:
         limit_sharing = LimitSharing("a")
-        limit_sharing.use(["a"], ["a"])
+        limit_sharing.update_members(["a"], ["a"])
         limits = TenantLimits(limit_sharing, UsageCheckpoint(), TOLERANCE, 7)
         limits.set_tenants(TenantIndex(TENANTS))
         self.assertAlmostEqual(TOLERANCE.start_of(LARGE), limits.left(LARGE, 0.1))
@@ -409,12 +409,12 @@
 
     def test_a_part_that_has_grown_is_told_before_more_goes_unmarked(self) -> None:
         limit_sharing = LimitSharing("a")
-        limit_sharing.use(["a", "b"], ["a"])
+        limit_sharing.update_members(["a", "b"], ["a"])
         limits = started(limit_sharing)
         before = limits.left(LARGE, 20.0)
         wanted: list[int] = []
         limits.marks.on_wanted = lambda: wanted.append(1)
-        limit_sharing.use(["a"], ["a"])
+        limit_sharing.update_members(["a"], ["a"])
         self.assertAlmostEqual(before, limits.left(LARGE, 30.0))
         self.assertTrue(wanted)
         limits.record_checkpoint(limits.snapshot(30.0), 30.0)
@@ -507,7 +507,7 @@
         for running, peers in (("abcde", ["b", "c", "d", "e"]), ("ac", ["c"]), ("", [])):
             with self.subTest(running):
                 limit_sharing = LimitSharing("a")
-                limit_sharing.use(self.FLEET, running)
+                limit_sharing.update_members(self.FLEET, running)
                 self.assertEqual((1 / 5, peers), (limit_sharing.share, limit_sharing.peers))
 
     def test_what_daemons_used_that_left_counts_until_their_window_is_over(self) -> None:
@@ -532,22 +532,22 @@
 
     def test_the_part_of_a_daemon_that_left_is_shared_out_once_it_does_not_count(self) -> None:
         limit_sharing = LimitSharing("a")
-        limit_sharing.use("abcd", "abcd", 100.0, (), 5.5)
-        limit_sharing.use("abc", "abc", 101.0, "d", 5.5)
+        limit_sharing.update_members("abcd", "abcd", 100.0, (), 5.5)
+        limit_sharing.update_members("abc", "abc", 101.0, "d", 5.5)
         self.assertEqual((1 / 4, True), (limit_sharing.share, limit_sharing.has_reserved_shares))
-        limit_sharing.use("abc", "abc", 106.6, "d", 5.5)
+        limit_sharing.update_members("abc", "abc", 106.6, "d", 5.5)
         self.assertEqual((1 / 3, False), (limit_sharing.share, limit_sharing.has_reserved_shares))
-        limit_sharing.use("abcd", "abcd", 107.0, (), 5.5)
+        limit_sharing.update_members("abcd", "abcd", 107.0, (), 5.5)
         self.assertEqual(1 / 4, limit_sharing.share)
 
     def test_a_process_that_starts_counts_those_that_are_leaving(self) -> None:
         limit_sharing = LimitSharing("a")
-        limit_sharing.use("ab", "ab", 100.0, "cd", 5.5)
+        limit_sharing.update_members("ab", "ab", 100.0, "cd", 5.5)
         self.assertEqual(1 / 4, limit_sharing.share)
 
     def test_a_daemon_that_does_not_serve_has_no_part_but_may_borrow(self) -> None:
         limit_sharing = LimitSharing("x")
-        limit_sharing.use(self.FLEET, self.FLEET)
+        limit_sharing.update_members(self.FLEET, self.FLEET)
         self.assertEqual((0.0, list(self.FLEET)), (limit_sharing.share, limit_sharing.peers))
 
 
--- a/tests/serving/test_caller_access.py
+++ b/tests/serving/test_caller_access.py
@@ -40,7 +40,7 @@
         self.log = RecordingLog()
         self.metrics = ServingMetrics()
         limit_sharing = LimitSharing("d")
-        limit_sharing.use(["d"], ["d"])
+        limit_sharing.update_members(["d"], ["d"])
         limits = TenantLimits(limit_sharing, UsageCheckpoint(), LimitTolerance(), 1)
         limits.set_tenants(TENANTS)
         limits.apply_prior_usage(PriorUsage(), began_s)
--- a/tests/serving/test_evacuation.py
+++ b/tests/serving/test_evacuation.py
@@ -108,7 +108,7 @@
 
     def test_workers_that_come_back_are_taken_as_cold(self) -> None:
         limit_sharing = LimitSharing("d1")
-        limit_sharing.use(["d1"], ["d1"])
+        limit_sharing.update_members(["d1"], ["d1"])
         sends = ColdStartShares(limit_sharing, ColdStartTolerance(), 0.0, lambda: True)
         self.directory.set_cold_start_limits({"llm": ColdStartLimit(3.0, 2.0)}, sends, 0.0)
         self.directory.set_evacuated_zones({"b"}, 10.0)
--- a/tests/serving/test_forwarder.py
+++ b/tests/serving/test_forwarder.py
@@ -415,7 +415,7 @@
             async with ForwarderHarness(REPEATABLE, (whole(),)) as harness:
                 fleet = harness.fleet
                 limit_sharing = LimitSharing("test")
-                limit_sharing.use(["test"], ["test"])
+                limit_sharing.update_members(["test"], ["test"])
                 sends = ColdStartShares(
                     limit_sharing, ColdStartTolerance(), float("-inf"), lambda: True
                 )
