--- a/mountstand/limits/window.py
+++ b/mountstand/limits/window.py
@@ -21,7 +21,7 @@
 
     def add(self, amount: float, now_s: float) -> None:
         """Add an amount; a negative one takes back what was added last."""
-        self.forget(now_s)
+        self.evict_expired(now_s)
         if amount < 0:
             self._take_back(-amount)
             return
@@ -40,9 +40,9 @@
         """Add amounts by the times at which they count from; some may be before what is there."""
         self._amounts = deque(sorted([*self._amounts, *entries]))
         self.total = sum(amount for _, amount in self._amounts)
-        self.forget(now_s)
+        self.evict_expired(now_s)
 
-    def forget(self, now_s: float) -> None:
+    def evict_expired(self, now_s: float) -> None:
         """Let go what was added longer ago than the span."""
         while self._amounts and now_s - self._amounts[0][0] > self._span_s + GRAIN_S:
             self.total -= self._amounts.popleft()[1]
--- a/mountstand/serving/cold_workers.py
+++ b/mountstand/serving/cold_workers.py
@@ -114,7 +114,7 @@
         """Return whether a request may be sent to the worker now."""
         if now_s >= self.cold_until_s:
             return True
-        self._used.forget(now_s)
+        self._used.evict_expired(now_s)
         return self._used.total + 1 <= self._sends.part(self._worker_id, self.cold, now_s)
 
     def take(self, now_s: float) -> bool:
--- a/mountstand/serving/fair_shares.py
+++ b/mountstand/serving/fair_shares.py
@@ -44,10 +44,10 @@
     slot_s: SlidingSum = field(default_factory=lambda: SlidingSum(WINDOW_S))
     requests: SlidingSum = field(default_factory=lambda: SlidingSum(WINDOW_S))
 
-    def forget(self, now_s: float) -> None:
+    def evict_expired(self, now_s: float) -> None:
         """Let go what does not count any more."""
-        self.slot_s.forget(now_s)
-        self.requests.forget(now_s)
+        self.slot_s.evict_expired(now_s)
+        self.requests.evict_expired(now_s)
 
     def is_clearly_over(self, share_s: float) -> bool:
         """Return whether more was taken than a share in slot time, beyond what chance explains."""
@@ -85,7 +85,7 @@
 
     def _work_out(self, now_s: float) -> frozenset[str]:
         for tenant, taken in list(self._by_tenant.items()):
-            taken.forget(now_s)
+            taken.evict_expired(now_s)
             if not taken.requests.total:
                 del self._by_tenant[tenant]
         told = [each.weight for each in self._by_tenant.values() if each.weight is not None]
--- a/mountstand/tenants/limits.py
+++ b/mountstand/tenants/limits.py
@@ -124,10 +124,10 @@
         lent = [(at_s + LOAN_TTL_S, amount) for at_s, amount in self.lent.entries()]
         return tuple(sorted([*self.used.entries(), *lent]))
 
-    def forget(self, now_s: float) -> None:
+    def evict_expired(self, now_s: float) -> None:
         """Let go what does not count any more."""
         for amounts in (self.used, self.lent, self.former, self.marked):
-            amounts.forget(now_s)
+            amounts.evict_expired(now_s)
         if now_s > self.borrowed_until_s:
             self.borrowed = 0.0
 
@@ -207,7 +207,7 @@
         """Return what the row is to say; tenants that it leaves out are unmarked from now on."""
         told: list[tuple[float, int]] = []
         for number, part in self._part_by_number.items():
-            part.forget(now_s)
+            part.evict_expired(now_s)
             tenant = self._by_number.get(number)
             least = self._unmarked_allowance(tenant) * TOLD_SHARE if tenant is not None else 0.0
             if part.used.total + part.lent.total > least:
@@ -279,7 +279,7 @@
             part.counts_former = True
             amount = self._tolerance.unmarked_of(tenant) * former.share
             part.former.add_backdated([(at_s, amount) for at_s in former.starts_s], now_s)
-        part.forget(now_s)
+        part.evict_expired(now_s)
         return part
 
     def _part_of(self, number: int, now_s: float) -> LimitPart:
