--- a/mountstand/tenants/access.py
+++ b/mountstand/tenants/access.py
@@ -49,7 +49,7 @@
 
     async def admit(self, tenant: Tenant | None, request_id: str) -> None:
         """Count a request of a tenant. Raises ``TenantOverLimit`` with the time to come back."""
-        if tenant is None or self._gate.take(tenant):
+        if tenant is None or self._gate.try_acquire(tenant):
             return
         retry_after_s = await self._gate.borrow(tenant)
         if retry_after_s is None:
--- a/mountstand/tenants/gate.py
+++ b/mountstand/tenants/gate.py
@@ -58,9 +58,9 @@
         self._shortage_by_tenant: dict[str, _Shortage] = {}
         self._future_by_number: dict[int, asyncio.Future[None]] = {}
 
-    def take(self, tenant: Tenant) -> bool:
+    def try_acquire(self, tenant: Tenant) -> bool:
         """Count a request if it fits into this daemon's part; returns whether it does."""
-        return self.limits.take(tenant, self._now_s())
+        return self.limits.try_acquire(tenant, self._now_s())
 
     def refund(self, tenant: Tenant) -> None:
         """Count a request no more that reached no worker."""
@@ -100,7 +100,7 @@
             if not peers:
                 return False
             peers = await self._ask(tenant, shortage, peers)
-            if self.take(tenant):
+            if self.try_acquire(tenant):
                 return True
         return False
 
--- a/mountstand/tenants/limits.py
+++ b/mountstand/tenants/limits.py
@@ -72,17 +72,17 @@
     overshoot: float = 0.1
     slack: float = 20.0
 
-    def limit_of(self, tenant: Tenant) -> float:
+    def window_limit(self, tenant: Tenant) -> float:
         """Return how many requests a window may hold."""
         return tenant.requests_per_s * self.window_s + tenant.burst
 
     def beyond(self, tenant: Tenant) -> float:
         """Return by how many requests of a window the limit may be exceeded."""
-        return self.limit_of(tenant) * self.overshoot + self.slack
+        return self.window_limit(tenant) * self.overshoot + self.slack
 
     def whole_of(self, tenant: Tenant) -> float:
         """Return how many requests all parts together hold."""
-        return self.limit_of(tenant) + self.beyond(tenant) * SPARE_SHARE
+        return self.window_limit(tenant) + self.beyond(tenant) * SPARE_SHARE
 
     def unmarked_of(self, tenant: Tenant) -> float:
         """Return how many of these may be used beyond what the store has."""
@@ -230,7 +230,7 @@
 
     # Requests
 
-    def take(self, tenant: Tenant, now_s: float) -> bool:
+    def try_acquire(self, tenant: Tenant, now_s: float) -> bool:
         """Count a request; returns whether it is within the limit as far as is known here."""
         if tenant.requests_per_s <= 0:
             return True
--- a/tests/model/limit_fleet.py
+++ b/tests/model/limit_fleet.py
@@ -134,7 +134,7 @@
     async def _ask_one(self, name: str, tenant: Tenant) -> None:
         gate = self._gate_by_name[name]
         retry_after_s = None
-        if not gate.take(tenant):
+        if not gate.try_acquire(tenant):
             retry_after_s = await gate.borrow(tenant) if self.lends else 1.0
         if retry_after_s is None:
             self.admitted_s[tenant.name].append(self.loop.time())
--- a/tests/model/test_tenant_limits.py
+++ b/tests/model/test_tenant_limits.py
@@ -256,7 +256,7 @@
             gate = fleet._gate_by_name["d0"]
             await fleet.advance(10.0)
             for _ in range(100):
-                self.assertTrue(gate.take(SMALL))
+                self.assertTrue(gate.try_acquire(SMALL))
                 gate.refund(SMALL)
 
         run_paused(scenario())
@@ -344,7 +344,7 @@
         taken = before = 0
         while True:
             limits.record_checkpoint(limits.snapshot(now_s), now_s)
-            while limits.take(LARGE, now_s):
+            while limits.try_acquire(LARGE, now_s):
                 taken += 1
             if taken == before:
                 return taken
@@ -397,7 +397,7 @@
         wanted: list[int] = []
         limits.marks.on_wanted = lambda: wanted.append(1)
         taken = 0
-        while limits.take(LARGE, 20.0):
+        while limits.try_acquire(LARGE, 20.0):
             taken += 1
             if len(wanted) == 1:
                 asked_at = taken
@@ -426,7 +426,7 @@
         limits.set_tenants(TenantIndex(tenants))
         for n, tenant in enumerate(tenants):
             for _ in range(20 if n % 2 else 2):
-                self.assertTrue(limits.take(tenant, 20.0))
+                self.assertTrue(limits.try_acquire(tenant, 20.0))
         snapshot = limits.snapshot(20.0)
         self.assertEqual(MOST_TOLD, len(snapshot.by_tenant))
         self.assertTrue(all(int(t.name[1:]) % 2 for t in tenants if t.number in snapshot.by_tenant))
@@ -580,7 +580,7 @@
             fleet = LimitFleet(2, [SMALL])
             fleet.reaches = lambda sender, receiver: False
             gate = fleet._gate_by_name["d0"]
-            while gate.take(SMALL):
+            while gate.try_acquire(SMALL):
                 pass
             task = asyncio.create_task(gate.borrow(SMALL))
             await asyncio.sleep(0.01)
