--- a/mountstand/tenants/limits.py
+++ b/mountstand/tenants/limits.py
@@ -76,13 +76,13 @@
         """Return how many requests a window may hold."""
         return tenant.requests_per_s * self.window_s + tenant.burst
 
-    def beyond(self, tenant: Tenant) -> float:
+    def tolerated_excess(self, tenant: Tenant) -> float:
         """Return by how many requests of a window the limit may be exceeded."""
         return self.window_limit(tenant) * self.overshoot + self.slack
 
     def whole_of(self, tenant: Tenant) -> float:
         """Return how many requests all parts together hold."""
-        return self.window_limit(tenant) + self.beyond(tenant) * SPARE_SHARE
+        return self.window_limit(tenant) + self.tolerated_excess(tenant) * SPARE_SHARE
 
     def unmarked_of(self, tenant: Tenant) -> float:
         """Return how many of these may be used beyond what the store has."""
@@ -90,7 +90,7 @@
 
     def start_of(self, tenant: Tenant) -> float:
         """Return how many may be used after a start before it is known what was used before."""
-        return self.beyond(tenant) * START_SHARE
+        return self.tolerated_excess(tenant) * START_SHARE
 
 
 @dataclass(slots=True)
--- a/tests/model/limit_fleet.py
+++ b/tests/model/limit_fleet.py
@@ -34,7 +34,7 @@
 def bound(tenant: Tenant) -> float:
     """Return the most requests of a tenant that any window may hold."""
     limit = tenant.requests_per_s * TOLERANCE.window_s + tenant.burst
-    return limit + TOLERANCE.beyond(tenant)
+    return limit + TOLERANCE.tolerated_excess(tenant)
 
 
 class SimulatedLink(MessageLink):
