--- a/mountstand/limits/window.py
+++ b/mountstand/limits/window.py
@@ -49,7 +49,7 @@
         if not self._amounts:
             self.total = 0.0
 
-    def free_again_s(self, amount: float, now_s: float) -> float:
+    def time_until_freed_s(self, amount: float, now_s: float) -> float:
         """Return after how many seconds so much of the sum is gone, or all of it if it is less."""
         gone = 0.0
         for at_s, added in self._amounts:
--- a/mountstand/tenants/gate.py
+++ b/mountstand/tenants/gate.py
@@ -86,7 +86,7 @@
         if isinstance(message, TokenAsk):
             self._link.send(self.limits.lend(message, now_s), (sender,))
             return
-        more_due = self.limits.receive(sender, message, now_s)
+        more_due = self.limits.receive_grant(sender, message, now_s)
         answered = self._future_by_number.get(message.number)
         if not more_due and answered is not None and not answered.done():
             answered.set_result(None)
@@ -116,8 +116,8 @@
             await asyncio.wait([shortage.answered], timeout=ROUND_S)
             return peers
         loop = asyncio.get_running_loop()
-        lacking = self.limits.lacking(tenant, shortage.waiting, loop.time())
-        question = self.limits.ask(tenant, lacking, peers, loop.time())
+        shortfall = self.limits.shortfall(tenant, shortage.waiting, loop.time())
+        question = self.limits.ask(tenant, shortfall, peers, loop.time())
         answered: asyncio.Future[None] = loop.create_future()
         shortage.answered = self._future_by_number[question.number] = answered
         try:
@@ -128,7 +128,7 @@
             del self._future_by_number[question.number]
             if not answered.done():
                 answered.set_result(None)
-        return self.limits.lenders(question.number)
+        return self.limits.full_lenders(question.number)
 
     def _refuse(self, tenant: Tenant, shortage: _Shortage, now_s: float) -> float:
         """Return when a request that is refused now may fit.
@@ -137,4 +137,4 @@
         """
         shortage.refused_s = [at_s for at_s in shortage.refused_s if now_s - at_s < REFUSED_S]
         shortage.refused_s.append(now_s)
-        return self.limits.free_again_s(tenant, len(shortage.refused_s), now_s)
+        return self.limits.time_until_freed_s(tenant, len(shortage.refused_s), now_s)
--- a/mountstand/tenants/limits.py
+++ b/mountstand/tenants/limits.py
@@ -30,30 +30,30 @@
 from mountstand.tenants.tenant import Tenant, TenantIndex
 from mountstand.wire.gossip import TokenAsk, TokenGrant
 
-SPARE_SHARE = 0.5
-START_SHARE = 0.3
+QUOTA_EXCESS_FRACTION = 0.5
+STARTUP_EXCESS_FRACTION = 0.3
 """Shares of what may exceed a limit: by the first, parts together hold more than the limit, since
 what is lent and not used is missing for a while; the second is there after a start until the store
 has told what was used before. The rest is for daemons whose views of the fleet differ."""
 
-UNMARKED_SHARE = 0.45
+UNCHECKPOINTED_FRACTION = 0.45
 """Share of a part that may be used beyond what the store has. More is missing after a start, when
 it counts as used; with less, more is refused while the store takes no rows. Of callers at 0.6 of
 their limit nearly all go on after the death of all daemons, 0.87 while the store is down for 8 s
 (tests/model/test_tenant_limits.py and docs/design/competing-callers.md)."""
 
-MARK_SHARE = 0.8
+CHECKPOINT_TRIGGER_FRACTION = 0.8
 """From this share of the unmarked allowance on, a row is asked for: it must stand in time."""
 
-TOLD_SHARE = 0.4
+CHECKPOINT_MIN_FRACTION = 0.4
 """Tenants that used this share of the unmarked allowance stand in the row, those with less do not:
 all of theirs counts as unmarked."""
 
-MOST_TOLD = 400
+MAX_CHECKPOINT_TENANTS = 400
 """Tenants of one row at most, those that used most; each takes up to 145 bytes of the 64 kB that a
 row may have."""
 
-UNITS = 1000
+UNITS_PER_REQUEST = 1000
 """Parts of requests travel as whole numbers of thousandths."""
 
 LOAN_TTL_S = 0.5
@@ -80,44 +80,44 @@
         """Return by how many requests of a window the limit may be exceeded."""
         return self.window_limit(tenant) * self.overshoot + self.slack
 
-    def whole_of(self, tenant: Tenant) -> float:
+    def fleet_quota(self, tenant: Tenant) -> float:
         """Return how many requests all parts together hold."""
-        return self.window_limit(tenant) + self.tolerated_excess(tenant) * SPARE_SHARE
+        return self.window_limit(tenant) + self.tolerated_excess(tenant) * QUOTA_EXCESS_FRACTION
 
-    def unmarked_of(self, tenant: Tenant) -> float:
+    def uncheckpointed_quota(self, tenant: Tenant) -> float:
         """Return how many of these may be used beyond what the store has."""
-        return self.whole_of(tenant) * UNMARKED_SHARE
+        return self.fleet_quota(tenant) * UNCHECKPOINTED_FRACTION
 
-    def start_of(self, tenant: Tenant) -> float:
+    def startup_quota(self, tenant: Tenant) -> float:
         """Return how many may be used after a start before it is known what was used before."""
-        return self.tolerated_excess(tenant) * START_SHARE
+        return self.tolerated_excess(tenant) * STARTUP_EXCESS_FRACTION
 
 
 @dataclass(slots=True)
-class LimitPart:
+class TenantUsage:
     """What this daemon has given away of one tenant's limit, and borrowed.
 
-    ``former`` is what processes before it may have used without a trace; ``marked`` is what the
+    ``prior_usage`` is what processes before it may have used without a trace; ``checkpointed`` is what the
     store has of ``used`` and ``lent``, which include what it told of the processes before.
     """
 
     used: SlidingSum
     lent: SlidingSum
-    former: SlidingSum
-    marked: SlidingSum
-    counts_former: bool = False
+    prior_usage: SlidingSum
+    checkpointed: SlidingSum
+    includes_prior: bool = False
     borrowed: float = 0.0
-    borrowed_until_s: float = 0.0
+    borrowed_expires_s: float = 0.0
 
     @property
-    def given(self) -> float:
+    def consumed(self) -> float:
         """What is missing in the part."""
-        return self.used.total + self.lent.total + self.former.total
+        return self.used.total + self.lent.total + self.prior_usage.total
 
     @property
-    def unmarked(self) -> float:
+    def uncheckpointed(self) -> float:
         """How much of it the store does not have."""
-        return self.used.total + self.lent.total - self.marked.total
+        return self.used.total + self.lent.total - self.checkpointed.total
 
     def amounts(self) -> Amounts:
         """Return what is used and lent, by the time; what is lent counts for a loan longer."""
@@ -126,14 +126,16 @@
 
     def evict_expired(self, now_s: float) -> None:
         """Let go what does not count any more."""
-        for amounts in (self.used, self.lent, self.former, self.marked):
+        for amounts in (self.used, self.lent, self.prior_usage, self.checkpointed):
             amounts.evict_expired(now_s)
-        if now_s > self.borrowed_until_s:
+        if now_s > self.borrowed_expires_s:
             self.borrowed = 0.0
 
     def borrow(self, amount: float, until_s: float) -> None:
         """Add what was lent; all that is borrowed expires with the oldest loan."""
-        self.borrowed_until_s = min(self.borrowed_until_s, until_s) if self.borrowed else until_s
+        self.borrowed_expires_s = (
+            min(self.borrowed_expires_s, until_s) if self.borrowed else until_s
+        )
         self.borrowed += amount
 
 
@@ -141,17 +143,17 @@
 class _Question:
     """A question to other daemons, and those that have not answered it."""
 
-    asked_at_s: float
+    sent_at_s: float
     units: int
-    unanswered: set[str]
-    lenders: list[str] = field(default_factory=list)
+    pending_peers: set[str]
+    full_lenders: list[str] = field(default_factory=list)
     """Those that lent all that they were asked for."""
 
 
 class TenantLimits:
     """The parts of all limits that one daemon keeps, and what it asks of others and lends to them.
 
-    ``first_number`` is drawn by chance, so that answers to questions of the process before are not
+    ``initial_request_number`` is drawn by chance, so that answers to questions of the process before are not
     taken for its own.
     """
 
@@ -161,23 +163,23 @@
         "_part_by_number",
         "_question_by_number",
         "_tolerance",
-        "marks",
+        "checkpoint_XX",
         "limit_sharing",
     )
 
     def __init__(
         self,
         limit_sharing: LimitSharing,
-        marks: UsageCheckpoint,
+        checkpoint_XX: UsageCheckpoint,
         tolerance: LimitTolerance,
-        first_number: int,
+        initial_request_number: int,
     ) -> None:
         self.limit_sharing = limit_sharing
-        self.marks = marks
+        self.checkpoint_XX = checkpoint_XX
         self._tolerance = tolerance
-        self._next_number = first_number
+        self._next_number = initial_request_number
         self._by_number: dict[int, Tenant] = {}
-        self._part_by_number: dict[int, LimitPart] = {}
+        self._part_by_number: dict[int, TenantUsage] = {}
         self._question_by_number: dict[int, _Question] = {}
 
     def set_tolerance(self, tolerance: LimitTolerance) -> None:
@@ -195,38 +197,42 @@
 
     # The store
 
-    def apply_prior_usage(self, former: PriorUsage, now_s: float) -> None:
+    def apply_prior_usage(self, prior_usage: PriorUsage, now_s: float) -> None:
         """Count what the processes before let through, as the store told."""
-        self.marks.former = former
-        for number, part in self._part_by_number.items():
-            part.used.add_backdated(former.by_tenant.get(number, ()), now_s)
-        for number in former.by_tenant:
+        self.checkpoint_XX.prior_usage = prior_usage
+        for number, usage in self._part_by_number.items():
+            usage.used.add_backdated(prior_usage.by_tenant.get(number, ()), now_s)
+        for number in prior_usage.by_tenant:
             self._part_of(number, now_s)
 
     def snapshot(self, now_s: float) -> UsageSnapshot:
         """Return what the row is to say; tenants that it leaves out are unmarked from now on."""
         told: list[tuple[float, int]] = []
-        for number, part in self._part_by_number.items():
-            part.evict_expired(now_s)
+        for number, usage in self._part_by_number.items():
+            usage.evict_expired(now_s)
             tenant = self._by_number.get(number)
-            least = self._unmarked_allowance(tenant) * TOLD_SHARE if tenant is not None else 0.0
-            if part.used.total + part.lent.total > least:
-                told.append((part.used.total + part.lent.total, number))
-        numbers = {number for _, number in sorted(told, reverse=True)[:MOST_TOLD]}
-        for number, part in self._part_by_number.items():
+            least = (
+                self._unmarked_allowance(tenant) * CHECKPOINT_MIN_FRACTION
+                if tenant is not None
+                else 0.0
+            )
+            if usage.used.total + usage.lent.total > least:
+                told.append((usage.used.total + usage.lent.total, number))
+        numbers = {number for _, number in sorted(told, reverse=True)[:MAX_CHECKPOINT_TENANTS]}
+        for number, usage in self._part_by_number.items():
             if number not in numbers:
-                part.marked = self._new_sum()
+                usage.checkpointed = self._new_sum()
         by_tenant = {number: self._part_by_number[number].amounts() for number in numbers}
         return UsageSnapshot(self.limit_sharing.share, by_tenant)
 
     def record_checkpoint(self, snapshot: UsageSnapshot, now_s: float) -> None:
         """Note that the store has a row with ``snapshot``."""
-        self.marks.share = snapshot.share
+        self.checkpoint_XX.share = snapshot.share
         for number, amounts in snapshot.by_tenant.items():
-            part = self._part_by_number.get(number)
-            if part is not None:
-                part.marked = self._new_sum()
-                part.marked.add_backdated(amounts, now_s)
+            usage = self._part_by_number.get(number)
+            if usage is not None:
+                usage.checkpointed = self._new_sum()
+                usage.checkpointed.add_backdated(amounts, now_s)
 
     # Requests
 
@@ -234,12 +240,12 @@
         """Count a request; returns whether it is within the limit as far as is known here."""
         if tenant.requests_per_s <= 0:
             return True
-        part = self._part(tenant, now_s)
-        own = max(0.0, 1 - part.borrowed)
-        if own > self.left(tenant, now_s):
+        usage = self._part(tenant, now_s)
+        own = max(0.0, 1 - usage.borrowed)
+        if own > self.available(tenant, now_s):
             return False
-        part.borrowed -= 1 - own
-        part.used.add(own, now_s)
+        usage.borrowed -= 1 - own
+        usage.used.add(own, now_s)
         return True
 
     def refund(self, tenant: Tenant, now_s: float) -> None:
@@ -247,62 +253,71 @@
         if tenant.requests_per_s > 0:
             self._part(tenant, now_s).used.add(-1.0, now_s)
 
-    def lacking(self, tenant: Tenant, requests: int, now_s: float) -> float:
+    def shortfall(self, tenant: Tenant, requests: int, now_s: float) -> float:
         """Return how much is lacking for so many requests."""
-        return max(0.0, requests - self._part(tenant, now_s).borrowed - self.left(tenant, now_s))
+        return max(
+            0.0, requests - self._part(tenant, now_s).borrowed - self.available(tenant, now_s)
+        )
 
-    def left(self, tenant: Tenant, now_s: float) -> float:
+    def available(self, tenant: Tenant, now_s: float) -> float:
         """Return how much of this daemon's own part may be used now."""
-        part = self._part(tenant, now_s)
+        usage = self._part(tenant, now_s)
         share = self.limit_sharing.share
-        if self.marks.former is None:
-            return max(0.0, self._tolerance.start_of(tenant) * share - part.given)
+        if self.checkpoint_XX.prior_usage is None:
+            return max(0.0, self._tolerance.startup_quota(tenant) * share - usage.consumed)
         allowance = self._unmarked_allowance(tenant)
-        if part.unmarked > allowance * MARK_SHARE or share > self.marks.share * SHARE_TOLERANCE:
-            self.marks.want()
-        left = self._tolerance.whole_of(tenant) * share - part.given
-        return max(0.0, min(left, allowance - part.unmarked))
-
-    def free_again_s(self, tenant: Tenant, requests: int, now_s: float) -> float:
+        if (
+            usage.uncheckpointed > allowance * CHECKPOINT_TRIGGER_FRACTION
+            or share > self.checkpoint_XX.share * SHARE_TOLERANCE
+        ):
+            self.checkpoint_XX.want()
+        available = self._tolerance.fleet_quota(tenant) * share - usage.consumed
+        return max(0.0, min(available, allowance - usage.uncheckpointed))
+
+    def time_until_freed_s(self, tenant: Tenant, requests: int, now_s: float) -> float:
         """Return after how many seconds so many requests more fit into this daemon's part."""
-        return self._part(tenant, now_s).used.free_again_s(requests, now_s)
+        return self._part(tenant, now_s).used.time_until_freed_s(requests, now_s)
 
     def _unmarked_allowance(self, tenant: Tenant) -> float:
         """Return how much may be used beyond what the store has, which knows an older share."""
-        share = min(self.limit_sharing.share, self.marks.share)
-        return self._tolerance.unmarked_of(tenant) * share
-
-    def _part(self, tenant: Tenant, now_s: float) -> LimitPart:
-        part = self._part_of(tenant.number, now_s)
-        former = self.marks.former
-        if former is not None and former.starts_s and not part.counts_former:
-            part.counts_former = True
-            amount = self._tolerance.unmarked_of(tenant) * former.share
-            part.former.add_backdated([(at_s, amount) for at_s in former.starts_s], now_s)
-        part.evict_expired(now_s)
-        return part
-
-    def _part_of(self, number: int, now_s: float) -> LimitPart:
-        part = self._part_by_number.get(number)
-        if part is None:
+        share = min(self.limit_sharing.share, self.checkpoint_XX.share)
+        return self._tolerance.uncheckpointed_quota(tenant) * share
+
+    def _part(self, tenant: Tenant, now_s: float) -> TenantUsage:
+        usage = self._part_of(tenant.number, now_s)
+        prior_usage = self.checkpoint_XX.prior_usage
+        if prior_usage is not None and prior_usage.starts_s and not usage.includes_prior:
+            usage.includes_prior = True
+            amount = self._tolerance.uncheckpointed_quota(tenant) * prior_usage.share
+            usage.prior_usage.add_backdated(
+                [(at_s, amount) for at_s in prior_usage.starts_s], now_s
+            )
+        usage.evict_expired(now_s)
+        return usage
+
+    def _part_of(self, number: int, now_s: float) -> TenantUsage:
+        usage = self._part_by_number.get(number)
+        if usage is None:
             lent = SlidingSum(self._tolerance.window_s + LOAN_TTL_S)
-            part = LimitPart(self._new_sum(), lent, self._new_sum(), self._new_sum())
-            self._part_by_number[number] = part
-            former = self.marks.former
-            if former is not None and number in former.by_tenant:
-                part.used.add_backdated(former.by_tenant[number], now_s)
-        return part
+            usage = TenantUsage(self._new_sum(), lent, self._new_sum(), self._new_sum())
+            self._part_by_number[number] = usage
+            prior_usage = self.checkpoint_XX.prior_usage
+            if prior_usage is not None and number in prior_usage.by_tenant:
+                usage.used.add_backdated(prior_usage.by_tenant[number], now_s)
+        return usage
 
     def _new_sum(self) -> SlidingSum:
         return SlidingSum(self._tolerance.window_s)
 
     # Lending
 
-    def ask(self, tenant: Tenant, amount: float, peers: Collection[str], now_s: float) -> TokenAsk:
+    def create_request(
+        self, tenant: Tenant, amount: float, peers: Collection[str], now_s: float
+    ) -> TokenAsk:
         """Return the question for an even share of ``amount`` that goes to each of ``peers``."""
         self._forget_questions(now_s)
         self._next_number += 1
-        units = -(-round(amount * UNITS) // max(1, len(peers)))
+        units = -(-round(amount * UNITS_PER_REQUEST) // max(1, len(peers)))
         self._question_by_number[self._next_number] = _Question(now_s, units, set(peers))
         return TokenAsk(self._next_number, tenant.number, units)
 
@@ -311,34 +326,34 @@
         tenant = self._by_number.get(question.tenant)
         if tenant is None:
             return TokenGrant(question.number, question.tenant, 0)
-        units = max(0, min(question.units, int(self.left(tenant, now_s) * UNITS)))
-        self._part(tenant, now_s).lent.add(units / UNITS, now_s)
+        units = max(0, min(question.units, int(self.available(tenant, now_s) * UNITS_PER_REQUEST)))
+        self._part(tenant, now_s).lent.add(units / UNITS_PER_REQUEST, now_s)
         return TokenGrant(question.number, question.tenant, units)
 
-    def receive(self, sender: str, grant: TokenGrant, now_s: float) -> bool:
+    def receive_grant(self, sender: str, grant: TokenGrant, now_s: float) -> bool:
         """Take what was lent, once from each daemon asked; returns whether more answers are due."""
         self._forget_questions(now_s)
         question = self._question_by_number.get(grant.number)
         tenant = self._by_number.get(grant.tenant)
         if question is None or tenant is None:
             return False
-        if sender in question.unanswered:
-            question.unanswered.discard(sender)
-            lent = max(0, grant.units) / UNITS
+        if sender in question.pending_peers:
+            question.pending_peers.discard(sender)
+            lent = max(0, grant.units) / UNITS_PER_REQUEST
             if grant.units >= question.units:
-                question.lenders.append(sender)
+                question.full_lenders.append(sender)
             self._part(tenant, now_s).borrow(
-                min(lent, self._tolerance.whole_of(tenant)), question.asked_at_s + LOAN_TTL_S
+                min(lent, self._tolerance.fleet_quota(tenant)), question.sent_at_s + LOAN_TTL_S
             )
-        return bool(question.unanswered)
+        return bool(question.pending_peers)
 
-    def lenders(self, number: int) -> list[str]:
+    def full_lenders(self, number: int) -> list[str]:
         """Return the daemons that lent all that a question asked them for."""
         question = self._question_by_number.get(number)
-        return question.lenders if question is not None else []
+        return question.full_lenders if question is not None else []
 
     def _forget_questions(self, now_s: float) -> None:
         """Forget questions whose answers would come too late to be used."""
         for number, question in list(self._question_by_number.items()):
-            if now_s - question.asked_at_s >= LOAN_TTL_S:
+            if now_s - question.sent_at_s >= LOAN_TTL_S:
                 del self._question_by_number[number]
--- a/mountstand/tenants/marks.py
+++ b/mountstand/tenants/marks.py
@@ -49,10 +49,10 @@
     ``on_wanted`` is called when it should be written soon.
     """
 
-    __slots__ = ("former", "on_wanted", "share")
+    __slots__ = ("prior_usage", "on_wanted", "share")
 
     def __init__(self) -> None:
-        self.former: PriorUsage | None = None
+        self.prior_usage: PriorUsage | None = None
         """What the store told at the start, ``None`` until it has."""
 
         self.share = 0.0
--- a/mountstand/tenants/stored_marks.py
+++ b/mountstand/tenants/stored_marks.py
@@ -10,7 +10,7 @@
 
 from mountstand.store.rows import ABSENT, RowKey, RowStore, StoreError, Transaction
 from mountstand.telemetry.decisions import DecisionLog
-from mountstand.tenants.limits import LOAN_TTL_S, UNITS, TenantLimits
+from mountstand.tenants.limits import LOAN_TTL_S, UNITS_PER_REQUEST, TenantLimits
 from mountstand.tenants.marks import Amounts, PriorUsage, UsageSnapshot
 
 MARKS = "tenant_use"
@@ -80,19 +80,21 @@
         """Learn what the processes before may have used, and note the start of this one."""
         while True:
             try:
-                former = await self._read()
-                self._starts_s = former.starts_s or (self._began_s,)
-                share = max(former.share, self._limits.limit_sharing.share)
-                snapshot = UsageSnapshot(share, former.by_tenant)
+                prior_usage = await self._read()
+                self._starts_s = prior_usage.starts_s or (self._began_s,)
+                share = max(prior_usage.share, self._limits.limit_sharing.share)
+                snapshot = UsageSnapshot(share, prior_usage.by_tenant)
                 await self._write(snapshot)
             except StoreError:
                 await asyncio.sleep(RETRY_S)
                 continue
-            self._limits.apply_prior_usage(former, _now_s())
+            self._limits.apply_prior_usage(prior_usage, _now_s())
             self._limits.record_checkpoint(snapshot, _now_s())
-            if former.starts_s:
+            if prior_usage.starts_s:
                 self._log.event(
-                    "limits_held_back", starts=len(former.starts_s), tenants=len(former.by_tenant)
+                    "limits_held_back",
+                    starts=len(prior_usage.starts_s),
+                    tenants=len(prior_usage.by_tenant),
                 )
             return
 
@@ -140,7 +142,10 @@
     """Return a row's entries: a tenant's number, then pairs of an age and an amount."""
     entries: list[list[Any]] = []
     for number, amounts in by_tenant.items():
-        pairs = [[_ms(now_s - at_s), round(amount * UNITS)] for at_s, amount in _buckets(amounts)]
+        pairs = [
+            [_ms(now_s - at_s), round(amount * UNITS_PER_REQUEST)]
+            for at_s, amount in _buckets(amounts)
+        ]
         entries.append([number, *pairs])
     return entries
 
@@ -161,7 +166,9 @@
     entries: Iterable[list[Any]], row_at_s: float, oldest_s: float
 ) -> Iterable[tuple[int, Amounts]]:
     for number, *pairs in entries:
-        amounts = sorted((row_at_s - age_ms / 1000, units / UNITS) for age_ms, units in pairs)
+        amounts = sorted(
+            (row_at_s - age_ms / 1000, units / UNITS_PER_REQUEST) for age_ms, units in pairs
+        )
         yield int(number), tuple(each for each in amounts if each[0] > oldest_s)
 
 
--- a/tests/model/test_tenant_limits.py
+++ b/tests/model/test_tenant_limits.py
@@ -13,7 +13,12 @@
 
 from mountstand.limits.sharing import LimitSharing
 from mountstand.serving_settings import StoreSettings
-from mountstand.tenants.limits import LOAN_TTL_S, MARK_SHARE, MOST_TOLD, TenantLimits
+from mountstand.tenants.limits import (
+    CHECKPOINT_TRIGGER_FRACTION,
+    LOAN_TTL_S,
+    MAX_CHECKPOINT_TENANTS,
+    TenantLimits,
+)
 from mountstand.tenants.marks import PriorUsage, UsageCheckpoint, UsageSnapshot
 from mountstand.tenants.stored_marks import _encoded
 from mountstand.tenants.tenant import Tenant, TenantIndex
@@ -48,12 +53,12 @@
 NOTHING_BEFORE = PriorUsage()
 
 
-def started(limit_sharing: LimitSharing, former: PriorUsage = NOTHING_BEFORE) -> TenantLimits:
+def started(limit_sharing: LimitSharing, prior_usage: PriorUsage = NOTHING_BEFORE) -> TenantLimits:
     """Return the limits of a process that knows what was before it, and whose row says so."""
     limits = TenantLimits(limit_sharing, UsageCheckpoint(), TOLERANCE, 7)
     limits.set_tenants(TenantIndex(TENANTS))
-    limits.apply_prior_usage(former, 10.0)
-    limits.record_checkpoint(UsageSnapshot(limit_sharing.share, former.by_tenant), 10.0)
+    limits.apply_prior_usage(prior_usage, 10.0)
+    limits.record_checkpoint(UsageSnapshot(limit_sharing.share, prior_usage.by_tenant), 10.0)
     return limits
 
 
@@ -292,52 +297,52 @@
 
     def borrowed(self, limits: TenantLimits, now_s: float) -> float:
         """Return how much more fits than this daemon's own part holds."""
-        lacking = limits.lacking(LARGE, 1000, now_s)
-        return 1000 - lacking - limits.left(LARGE, now_s)
+        shortfall = limits.shortfall(LARGE, 1000, now_s)
+        return 1000 - shortfall - limits.left(LARGE, now_s)
 
     def test_what_is_lent_is_missing_until_the_borrowers_request_counts_no_more(self) -> None:
         a, b = self.limits("a"), self.limits("b")
         before = b.left(LARGE, 20.0)
-        self.assertFalse(a.receive("b", b.lend(a.ask(LARGE, 3.5, ["b"], 20.0), 20.0), 20.0))
+        self.assertFalse(a.receive_grant("b", b.lend(a.ask(LARGE, 3.5, ["b"], 20.0), 20.0), 20.0))
         self.assertAlmostEqual(3.5, self.borrowed(a, 20.0))
         self.assertAlmostEqual(before - 3.5, b.left(LARGE, 20.0 + TOLERANCE.window_s + LOAN_TTL_S))
         self.assertAlmostEqual(before, b.left(LARGE, 20.2 + TOLERANCE.window_s + LOAN_TTL_S))
 
     def test_what_is_borrowed_expires(self) -> None:
         a, b = self.limits("a"), self.limits("b")
-        a.receive("b", b.lend(a.ask(LARGE, 3.5, ["b"], 20.0), 20.0), 20.0)
+        a.receive_grant("b", b.lend(a.ask(LARGE, 3.5, ["b"], 20.0), 20.0), 20.0)
         self.assertAlmostEqual(0.0, self.borrowed(a, 20.1 + LOAN_TTL_S))
 
     def test_an_answer_counts_once_and_only_from_those_asked(self) -> None:
         a, b = self.limits("a"), self.limits("b")
         grant = b.lend(a.ask(LARGE, 1.0, ["b"], 20.0), 20.0)
-        a.receive("stranger", grant, 20.0)
+        a.receive_grant("stranger", grant, 20.0)
         self.assertAlmostEqual(0.0, self.borrowed(a, 20.0))
-        a.receive("b", grant, 20.0)
-        a.receive("b", grant, 20.0)
+        a.receive_grant("b", grant, 20.0)
+        a.receive_grant("b", grant, 20.0)
         self.assertAlmostEqual(1.0, self.borrowed(a, 20.0))
 
     def test_answers_that_are_late_or_to_a_former_process_are_dropped(self) -> None:
         a = self.limits("a")
         question = a.ask(LARGE, 1.0, ["b"], 20.0)
-        a.receive("b", TokenGrant(question.number + 5, LARGE.number, 1000), 20.0)
-        a.receive("b", TokenGrant(question.number, LARGE.number, 1000), 20.0 + LOAN_TTL_S)
+        a.receive_grant("b", TokenGrant(question.number + 5, LARGE.number, 1000), 20.0)
+        a.receive_grant("b", TokenGrant(question.number, LARGE.number, 1000), 20.0 + LOAN_TTL_S)
         self.assertAlmostEqual(0.0, self.borrowed(a, 20.0))
 
     def test_a_wrong_peer_cannot_lend_more_than_there_is(self) -> None:
         a = self.limits("a")
         question = a.ask(LARGE, 1.0, ["b"], 20.0)
-        a.receive("b", TokenGrant(question.number, LARGE.number, 10**9), 20.0)
-        self.assertLessEqual(round(self.borrowed(a, 20.0), 9), TOLERANCE.whole_of(LARGE))
+        a.receive_grant("b", TokenGrant(question.number, LARGE.number, 10**9), 20.0)
+        self.assertLessEqual(round(self.borrowed(a, 20.0), 9), TOLERANCE.fleet_quota(LARGE))
 
 
 class StartsAndMarks(TestCase):
     """What a process may use after others, by what the store has of them."""
 
-    def lone(self, former: PriorUsage = NOTHING_BEFORE) -> TenantLimits:
+    def lone(self, prior_usage: PriorUsage = NOTHING_BEFORE) -> TenantLimits:
         limit_sharing = LimitSharing("a")
         limit_sharing.update_members(["a"], ["a"])
-        return started(limit_sharing, former)
+        return started(limit_sharing, prior_usage)
 
     def take_all(self, limits: TenantLimits, now_s: float) -> int:
         """Take all that may be taken while the store takes each row; returns how much it was."""
@@ -355,10 +360,10 @@
         limit_sharing.update_members(["a"], ["a"])
         limits = TenantLimits(limit_sharing, UsageCheckpoint(), TOLERANCE, 7)
         limits.set_tenants(TenantIndex(TENANTS))
-        self.assertAlmostEqual(TOLERANCE.start_of(LARGE), limits.left(LARGE, 0.1))
+        self.assertAlmostEqual(TOLERANCE.startup_quota(LARGE), limits.left(LARGE, 0.1))
 
     def test_what_processes_before_used_is_missing_until_its_window_is_over(self) -> None:
-        whole, allowance = TOLERANCE.whole_of(LARGE), TOLERANCE.unmarked_of(LARGE)
+        whole, allowance = TOLERANCE.fleet_quota(LARGE), TOLERANCE.uncheckpointed_quota(LARGE)
         told = PriorUsage((10.0,), 1.0, {LARGE.number: ((8.0, 60.0), (9.5, 20.0))})
         limits = self.lone(told)
         cases = (
@@ -374,22 +379,22 @@
 
     def test_a_tenant_that_the_store_does_not_name_may_have_used_what_is_unmarked(self) -> None:
         told = PriorUsage((10.0,), 1.0, {SMALL.number: ((8.0, 5.0),)})
-        allowance = TOLERANCE.unmarked_of(LARGE)
+        allowance = TOLERANCE.uncheckpointed_quota(LARGE)
         limits = self.lone(told)
         self.assertAlmostEqual(allowance, limits.left(LARGE, 10.1))
         taken = self.take_all(limits, 10.1)
-        self.assertAlmostEqual(TOLERANCE.whole_of(LARGE) - allowance, taken, delta=1)
+        self.assertAlmostEqual(TOLERANCE.fleet_quota(LARGE) - allowance, taken, delta=1)
 
     def test_several_starts_within_a_window_count_each(self) -> None:
         told = PriorUsage((8.0, 10.0), 0.4, {})
-        expected = TOLERANCE.whole_of(LARGE) - 2 * 0.4 * TOLERANCE.unmarked_of(LARGE)
+        expected = TOLERANCE.fleet_quota(LARGE) - 2 * 0.4 * TOLERANCE.uncheckpointed_quota(LARGE)
         self.assertAlmostEqual(
-            min(expected, TOLERANCE.unmarked_of(LARGE)), self.lone(told).left(LARGE, 10.1)
+            min(expected, TOLERANCE.uncheckpointed_quota(LARGE)), self.lone(told).left(LARGE, 10.1)
         )
 
     def test_two_processes_together_keep_the_bound(self) -> None:
         for tenant in TENANTS:
-            whole, start = TOLERANCE.whole_of(tenant), TOLERANCE.start_of(tenant)
+            whole, start = TOLERANCE.fleet_quota(tenant), TOLERANCE.startup_quota(tenant)
             self.assertLessEqual(whole + start, bound(tenant))
 
     def test_beyond_the_unmarked_allowance_the_store_must_know(self) -> None:
@@ -401,11 +406,11 @@
             taken += 1
             if len(wanted) == 1:
                 asked_at = taken
-        allowance = TOLERANCE.unmarked_of(LARGE)
+        allowance = TOLERANCE.uncheckpointed_quota(LARGE)
         self.assertAlmostEqual(allowance, taken, delta=1)
-        self.assertAlmostEqual(allowance * MARK_SHARE, asked_at, delta=2)
+        self.assertAlmostEqual(allowance * CHECKPOINT_TRIGGER_FRACTION, asked_at, delta=2)
         taken += self.take_all(limits, 20.0)
-        self.assertAlmostEqual(TOLERANCE.whole_of(LARGE), taken, delta=1)
+        self.assertAlmostEqual(TOLERANCE.fleet_quota(LARGE), taken, delta=1)
 
     def test_a_part_that_has_grown_is_told_before_more_goes_unmarked(self) -> None:
         limit_sharing = LimitSharing("a")
@@ -428,15 +433,15 @@
             for _ in range(20 if n % 2 else 2):
                 self.assertTrue(limits.try_acquire(tenant, 20.0))
         snapshot = limits.snapshot(20.0)
-        self.assertEqual(MOST_TOLD, len(snapshot.by_tenant))
+        self.assertEqual(MAX_CHECKPOINT_TENANTS, len(snapshot.by_tenant))
         self.assertTrue(all(int(t.name[1:]) % 2 for t in tenants if t.number in snapshot.by_tenant))
         limits.record_checkpoint(snapshot, 20.0)
-        allowance = TOLERANCE.unmarked_of(tenants[0])
+        allowance = TOLERANCE.uncheckpointed_quota(tenants[0])
         self.assertAlmostEqual(allowance - 2, limits.left(tenants[0], 20.0))
 
     def test_a_row_of_many_tenants_fits(self) -> None:
         amounts = tuple((20.0 - n * 0.1, 1.234) for n in reversed(range(55)))
-        encoded = _encoded({2**31 + n: amounts for n in range(MOST_TOLD)}, 20.0)
+        encoded = _encoded({2**31 + n: amounts for n in range(MAX_CHECKPOINT_TENANTS)}, 20.0)
         self.assertLessEqual(len(orjson.dumps(encoded)), StoreSettings.row_bytes)
 
 
