--- a/mountstand/serving/load_sharing.py
+++ b/mountstand/serving/load_sharing.py
@@ -344,7 +344,7 @@
             worker.health.peers_failed = max(0, counts.failed) / QUARTERS
         self._told_keys = set(peers)
         for work, demand in self._demand_by_work.items():
-            for service in self._directory.pools:
+            for service in self._directory.pool_names:
                 counts = peers.get(service_key(service, work), none)
                 waiting = WaitingCounts(max(0, counts.waiting), max(0, counts.late))
                 demand.peers_by_service[service] = waiting
--- a/mountstand/serving/workers.py
+++ b/mountstand/serving/workers.py
@@ -129,11 +129,11 @@
 
     def pool_names_of(self, worker: Worker) -> list[str]:
         """Return the names of all pools that a worker is in, its service's first."""
-        pools = [name for name in self._pool_by_name if self.pool_contains(name, worker)]
-        return [worker.record.service, *pools]
+        pool_names = [name for name in self._pool_by_name if self.pool_contains(name, worker)]
+        return [worker.record.service, *pool_names]
 
     @property
-    def pools(self) -> list[str]:
+    def pool_names(self) -> list[str]:
         """The services that have workers, and the pools that requests asked for."""
         return [*self.services, *self._pool_by_name]
 
