--- a/mountstand/tenants/limits.py
+++ b/mountstand/tenants/limits.py
@@ -22,8 +22,8 @@
 from mountstand.limits.window import SlidingSum
 from mountstand.tenants.marks import (
     SHARE_TOLERANCE,
-    Amounts,
     PriorUsage,
+    TimedAmounts,
     UsageCheckpoint,
     UsageSnapshot,
 )
@@ -119,7 +119,7 @@
         """How much of it the store does not have."""
         return self.used.total + self.lent.total - self.checkpointed.total
 
-    def amounts(self) -> Amounts:
+    def amounts(self) -> TimedAmounts:
         """Return what is used and lent, by the time; what is lent counts for a loan longer."""
         lent = [(at_s + LOAN_TTL_S, amount) for at_s, amount in self.lent.entries()]
         return tuple(sorted([*self.used.entries(), *lent]))
@@ -270,7 +270,7 @@
             usage.uncheckpointed > allowance * CHECKPOINT_TRIGGER_FRACTION
             or share > self.checkpoint_XX.share * SHARE_TOLERANCE
         ):
-            self.checkpoint_XX.want()
+            self.checkpoint_XX.request_write()
         available = self._tolerance.fleet_quota(tenant) * share - usage.consumed
         return max(0.0, min(available, allowance - usage.uncheckpointed))
 
@@ -286,11 +286,11 @@
     def _part(self, tenant: Tenant, now_s: float) -> TenantUsage:
         usage = self._part_of(tenant.number, now_s)
         prior_usage = self.checkpoint_XX.prior_usage
-        if prior_usage is not None and prior_usage.starts_s and not usage.includes_prior:
+        if prior_usage is not None and prior_usage.start_times_s and not usage.includes_prior:
             usage.includes_prior = True
             amount = self._tolerance.uncheckpointed_quota(tenant) * prior_usage.share
             usage.prior_usage.add_backdated(
-                [(at_s, amount) for at_s in prior_usage.starts_s], now_s
+                [(at_s, amount) for at_s in prior_usage.start_times_s], now_s
             )
         usage.evict_expired(now_s)
         return usage
@@ -321,39 +321,39 @@
         self._question_by_number[self._next_number] = _Question(now_s, units, set(peers))
         return TokenAsk(self._next_number, tenant.number, units)
 
-    def lend(self, question: TokenAsk, now_s: float) -> TokenGrant:
+    def lend(self, request: TokenAsk, now_s: float) -> TokenGrant:
         """Return the answer to another daemon: as much as it asks for, or what there is."""
-        tenant = self._by_number.get(question.tenant)
+        tenant = self._by_number.get(request.tenant)
         if tenant is None:
-            return TokenGrant(question.number, question.tenant, 0)
-        units = max(0, min(question.units, int(self.available(tenant, now_s) * UNITS_PER_REQUEST)))
+            return TokenGrant(request.number, request.tenant, 0)
+        units = max(0, min(request.units, int(self.available(tenant, now_s) * UNITS_PER_REQUEST)))
         self._part(tenant, now_s).lent.add(units / UNITS_PER_REQUEST, now_s)
-        return TokenGrant(question.number, question.tenant, units)
+        return TokenGrant(request.number, request.tenant, units)
 
     def receive_grant(self, sender: str, grant: TokenGrant, now_s: float) -> bool:
         """Take what was lent, once from each daemon asked; returns whether more answers are due."""
         self._forget_questions(now_s)
-        question = self._question_by_number.get(grant.number)
+        request = self._question_by_number.get(grant.number)
         tenant = self._by_number.get(grant.tenant)
-        if question is None or tenant is None:
+        if request is None or tenant is None:
             return False
-        if sender in question.pending_peers:
-            question.pending_peers.discard(sender)
+        if sender in request.pending_peers:
+            request.pending_peers.discard(sender)
             lent = max(0, grant.units) / UNITS_PER_REQUEST
-            if grant.units >= question.units:
-                question.full_lenders.append(sender)
+            if grant.units >= request.units:
+                request.full_lenders.append(sender)
             self._part(tenant, now_s).borrow(
-                min(lent, self._tolerance.fleet_quota(tenant)), question.sent_at_s + LOAN_TTL_S
+                min(lent, self._tolerance.fleet_quota(tenant)), request.sent_at_s + LOAN_TTL_S
             )
-        return bool(question.pending_peers)
+        return bool(request.pending_peers)
 
     def full_lenders(self, number: int) -> list[str]:
         """Return the daemons that lent all that a question asked them for."""
-        question = self._question_by_number.get(number)
-        return question.full_lenders if question is not None else []
+        request = self._question_by_number.get(number)
+        return request.full_lenders if request is not None else []
 
     def _forget_questions(self, now_s: float) -> None:
         """Forget questions whose answers would come too late to be used."""
-        for number, question in list(self._question_by_number.items()):
-            if now_s - question.sent_at_s >= LOAN_TTL_S:
+        for number, request in list(self._question_by_number.items()):
+            if now_s - request.sent_at_s >= LOAN_TTL_S:
                 del self._question_by_number[number]
--- a/mountstand/tenants/marks.py
+++ b/mountstand/tenants/marks.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-Amounts = tuple[tuple[float, float], ...]
+TimedAmounts = tuple[tuple[float, float], ...]
 """Requests by the time at which they were let through, in seconds, in rising order."""
 
 SHARE_TOLERANCE = 1.05
@@ -26,13 +26,13 @@
 class PriorUsage:
     """What the processes before this one let through, by the clock of this one.
 
-    Before each of ``starts_s``, which are those of this process and of others within a window, an
+    Before each of ``start_times_s``, which are those of this process and of others within a window, an
     unmarked allowance at ``share`` of every limit may have been used beside ``by_tenant``.
     """
 
-    starts_s: tuple[float, ...] = ()
+    start_times_s: tuple[float, ...] = ()
     share: float = 0.0
-    by_tenant: Mapping[int, Amounts] = field(default_factory=dict)
+    by_tenant: Mapping[int, TimedAmounts] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,16 +40,16 @@
     """What this process let through within the window, by tenant, and its part of every limit."""
 
     share: float
-    by_tenant: Mapping[int, Amounts]
+    by_tenant: Mapping[int, TimedAmounts]
 
 
 class UsageCheckpoint:
     """Whether the row of this process is there, and whether it should be written.
 
-    ``on_wanted`` is called when it should be written soon.
+    ``on_write_requested`` is called when it should be written soon.
     """
 
-    __slots__ = ("prior_usage", "on_wanted", "share")
+    __slots__ = ("prior_usage", "on_write_requested", "share")
 
     def __init__(self) -> None:
         self.prior_usage: PriorUsage | None = None
@@ -58,8 +58,8 @@
         self.share = 0.0
         """The part of every limit that the row names: the unmarked allowance is a share of it."""
 
-        self.on_wanted: Callable[[], object] = lambda: None
+        self.on_write_requested: Callable[[], object] = lambda: None
 
-    def want(self) -> None:
+    def request_write(self) -> None:
         """Ask for the row to be written."""
-        self.on_wanted()
+        self.on_write_requested()
--- a/mountstand/tenants/stored_marks.py
+++ b/mountstand/tenants/stored_marks.py
@@ -11,12 +11,12 @@
 from mountstand.store.rows import ABSENT, RowKey, RowStore, StoreError, Transaction
 from mountstand.telemetry.decisions import DecisionLog
 from mountstand.tenants.limits import LOAN_TTL_S, UNITS_PER_REQUEST, TenantLimits
-from mountstand.tenants.marks import Amounts, PriorUsage, UsageSnapshot
+from mountstand.tenants.marks import PriorUsage, TimedAmounts, UsageSnapshot
 
-MARKS = "tenant_use"
+TENANT_USAGE_TABLE = "tenant_use"
 """The table of marks; each daemon has one row."""
 
-RETRY_S = 0.25
+STORE_RETRY_DELAY_S = 0.25
 """Pause after a call to the store that failed."""
 
 WRITE_PAUSE_S = 0.2
@@ -46,7 +46,7 @@
     ) -> None:
         self._limits = limits
         self._store = store
-        self._key = RowKey(MARKS, "", name)
+        self._key = RowKey(TENANT_USAGE_TABLE, "", name)
         self._store_now_ms = store_now_ms
         self._window_s = window_s
         self._log = log
@@ -54,7 +54,7 @@
         self._starts_s: tuple[float, ...] = ()
         self._version = ABSENT
         self._wanted = asyncio.Event()
-        limits.marks.on_wanted = self._wanted.set
+        limits.marks.on_write_requested = self._wanted.set
 
     async def run(self) -> None:
         """Take over what the store has of the process before, then write what is wanted."""
@@ -69,7 +69,7 @@
                 self._log.event(
                     "mark_delayed", cause=type(problem).__name__, tenants=len(snapshot.by_tenant)
                 )
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(STORE_RETRY_DELAY_S)
                 await self._learn_version()
                 self._wanted.set()
                 continue
@@ -86,7 +86,7 @@
                 snapshot = UsageSnapshot(share, prior_usage.by_tenant)
                 await self._write(snapshot)
             except StoreError:
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(STORE_RETRY_DELAY_S)
                 continue
             self._limits.apply_prior_usage(prior_usage, _now_s())
             self._limits.record_checkpoint(snapshot, _now_s())
@@ -138,7 +138,7 @@
         self._version = await self._store.commit(Transaction(conditions=[condition], puts=[row]))
 
 
-def _encoded(by_tenant: Mapping[int, Amounts], now_s: float) -> list[list[Any]]:
+def _encoded(by_tenant: Mapping[int, TimedAmounts], now_s: float) -> list[list[Any]]:
     """Return a row's entries: a tenant's number, then pairs of an age and an amount."""
     entries: list[list[Any]] = []
     for number, amounts in by_tenant.items():
@@ -150,7 +150,7 @@
     return entries
 
 
-def _buckets(amounts: Amounts) -> list[tuple[float, float]]:
+def _buckets(amounts: TimedAmounts) -> list[tuple[float, float]]:
     """Return amounts summed up by time, each sum as of its last amount."""
     buckets: list[tuple[float, float, float]] = []
     for at_s, amount in amounts:
@@ -164,7 +164,7 @@
 
 def _decoded(
     entries: Iterable[list[Any]], row_at_s: float, oldest_s: float
-) -> Iterable[tuple[int, Amounts]]:
+) -> Iterable[tuple[int, TimedAmounts]]:
     for number, *pairs in entries:
         amounts = sorted(
             (row_at_s - age_ms / 1000, units / UNITS_PER_REQUEST) for age_ms, units in pairs
--- a/tests/model/test_tenant_limits.py
+++ b/tests/model/test_tenant_limits.py
@@ -400,7 +400,7 @@
     def test_beyond_the_unmarked_allowance_the_store_must_know(self) -> None:
         limits = self.lone()
         wanted: list[int] = []
-        limits.marks.on_wanted = lambda: wanted.append(1)
+        limits.marks.on_write_requested = lambda: wanted.append(1)
         taken = 0
         while limits.try_acquire(LARGE, 20.0):
             taken += 1
@@ -418,7 +418,7 @@
         limits = started(limit_sharing)
         before = limits.left(LARGE, 20.0)
         wanted: list[int] = []
-        limits.marks.on_wanted = lambda: wanted.append(1)
+        limits.marks.on_write_requested = lambda: wanted.append(1)
         limit_sharing.update_members(["a"], ["a"])
         self.assertAlmostEqual(before, limits.left(LARGE, 30.0))
         self.assertTrue(wanted)
