--- a/mountstand/serving_listeners.py
+++ b/mountstand/serving_listeners.py
@@ -74,7 +74,7 @@
             server.limits = limits
 
     @property
-    def caller_connections(self) -> int:
+    def caller_connection_count(self) -> int:
         """How many connections callers have open."""
         return len(self._callers.connections) if self._callers is not None else 0
 
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -397,7 +397,7 @@
         began_s = loop.time()
         end_s = began_s + self.settings.grace_s - STOP_MARGIN_S
         self._stopping = True
-        self.log.event("stop_begun", connections=self._listeners.caller_connections)
+        self.log.event("stop_begun", connections=self._listeners.caller_connection_count)
         self.membership.leave()
         self._listeners.announce_close()
         self._spawn(self.registry.announce_leaving())
@@ -406,12 +406,12 @@
         self._listeners.close_caller_listener()
         await asyncio.sleep(FIRST_REQUEST_S)
         while loop.time() < end_s:
-            if drained.done() and not self._listeners.caller_connections:
+            if drained.done() and not self._listeners.caller_connection_count:
                 break
             await asyncio.sleep(0.05)
         self.log.event(
             "daemon_stopped",
-            connections_left=self._listeners.caller_connections,
+            connections_left=self._listeners.caller_connection_count,
             jobs_handed_on=drained.done(),
             after_s=round(loop.time() - began_s, 3),
         )
