--- a/mountstand/limits/sharing.py
+++ b/mountstand/limits/sharing.py
@@ -16,10 +16,18 @@
 class LimitSharing:
     """One daemon's place among those that serve callers."""
 
-    __slots__ = ("_fleet", "_left_at_s", "has_reserved_shares", "own", "peers", "share", "sharers")
+    __slots__ = (
+        "_fleet",
+        "_left_at_s",
+        "has_reserved_shares",
+        "own_name",
+        "peers",
+        "share",
+        "sharers",
+    )
 
-    def __init__(self, own: str) -> None:
-        self.own = own
+    def __init__(self, own_name: str) -> None:
+        self.own_name = own_name
         self._fleet: frozenset[str] = frozenset()
         self._left_at_s: dict[str, float] = {}
         self.share = 0.0
@@ -61,5 +69,5 @@
         self._fleet = fleet
         self.has_reserved_shares = bool(held)
         self.sharers = tuple(sorted(fleet | held))
-        self.share = 1 / len(self.sharers) if self.own in fleet else 0.0
-        self.peers = sorted(fleet & frozenset(running) - {self.own})
+        self.share = 1 / len(self.sharers) if self.own_name in fleet else 0.0
+        self.peers = sorted(fleet & frozenset(running) - {self.own_name})
--- a/mountstand/serving/cold_workers.py
+++ b/mountstand/serving/cold_workers.py
@@ -88,7 +88,7 @@
         units = self.tolerance.shared_out(cold)
         dealt = self._dealt.get((worker_id, units))
         if dealt is None:
-            dealt = allocated_units(units, worker_id, self._limit_sharing.own, sharers)
+            dealt = allocated_units(units, worker_id, self._limit_sharing.own_name, sharers)
             self._dealt[worker_id, units] = dealt
         return dealt
 
--- a/mountstand/tenants/gate.py
+++ b/mountstand/tenants/gate.py
@@ -17,23 +17,23 @@
 from mountstand.tenants.tenant import Tenant
 from mountstand.wire.gossip import TokenAsk, TokenGrant
 
-ROUND_S = 0.03
+GRANT_TIMEOUT_S = 0.03
 """How long answers are waited for: a datagram there and back takes two milliseconds between zones,
 and a busy daemon some more. Answers that come later still count for later requests."""
 
-MOST_ROUNDS = 3
+MAX_BORROW_ROUNDS = 3
 """Questions that one request waits for at most. The first asks every other daemon for an even share
 of what is lacking; the next ones ask those that had it for what others did not have."""
 
-MOST_ASKED = 24
+MAX_PEERS_PER_ROUND = 24
 """Daemons that one question goes to at most, so that its cost has a bound in any fleet."""
 
-PAUSE_S = 0.25
+BORROW_BACKOFF_S = 0.25
 """How long a tenant's requests are refused at once after nobody had anything to spare. What comes
 back meanwhile is found by the next question."""
 
 
-REFUSED_S = 1.0
+RECENT_REJECTION_S = 1.0
 """Requests that were refused within this time are counted as coming back before a further one."""
 
 
@@ -41,10 +41,10 @@
 class _Shortage:
     """A tenant of which some requests wait for tokens, or were refused a moment ago."""
 
-    waiting: int = 0
-    answered: asyncio.Future[None] | None = None
-    paused_until_s: float = float("-inf")
-    refused_s: list[float] = field(default_factory=list)
+    waiting_requests: int = 0
+    reply_received: asyncio.Future[None] | None = None
+    backoff_until_s: float = float("-inf")
+    rejected_at_s: list[float] = field(default_factory=list)
     """When requests were refused lately."""
 
 
@@ -70,14 +70,14 @@
         """Count a request with the help of others; returns ``None``, or when one may fit."""
         loop = asyncio.get_running_loop()
         shortage = self._shortage_by_tenant.setdefault(tenant.name, _Shortage())
-        if loop.time() >= shortage.paused_until_s:
-            shortage.waiting += 1
+        if loop.time() >= shortage.backoff_until_s:
+            shortage.waiting_requests += 1
             try:
                 if await self._ask_around(tenant, shortage):
                     return None
             finally:
-                shortage.waiting -= 1
-            shortage.paused_until_s = loop.time() + PAUSE_S
+                shortage.waiting_requests -= 1
+            shortage.backoff_until_s = loop.time() + BORROW_BACKOFF_S
         return self._refuse(tenant, shortage, loop.time())
 
     def handle(self, sender: str, message: TokenAsk | TokenGrant) -> None:
@@ -86,17 +86,17 @@
         if isinstance(message, TokenAsk):
             self._link.send(self.limits.lend(message, now_s), (sender,))
             return
-        more_due = self.limits.receive_grant(sender, message, now_s)
-        answered = self._future_by_number.get(message.number)
-        if not more_due and answered is not None and not answered.done():
-            answered.set_result(None)
+        replies_pending = self.limits.receive_grant(sender, message, now_s)
+        reply_received = self._future_by_number.get(message.number)
+        if not replies_pending and reply_received is not None and not reply_received.done():
+            reply_received.set_result(None)
 
     async def _ask_around(self, tenant: Tenant, shortage: _Shortage) -> bool:
         """Ask the others until there is enough or nobody has anything to spare."""
         peers = self.limits.limit_sharing.peers
-        if len(peers) > MOST_ASKED:
-            peers = self._rng.sample(peers, MOST_ASKED)
-        for _ in range(MOST_ROUNDS):
+        if len(peers) > MAX_PEERS_PER_ROUND:
+            peers = self._rng.sample(peers, MAX_PEERS_PER_ROUND)
+        for _ in range(MAX_BORROW_ROUNDS):
             if not peers:
                 return False
             peers = await self._ask(tenant, shortage, peers)
@@ -112,29 +112,31 @@
 
         Returns those that may have more to spare.
         """
-        if shortage.answered is not None:
-            await asyncio.wait([shortage.answered], timeout=ROUND_S)
+        if shortage.reply_received is not None:
+            await asyncio.wait([shortage.reply_received], timeout=GRANT_TIMEOUT_S)
             return peers
         loop = asyncio.get_running_loop()
-        shortfall = self.limits.shortfall(tenant, shortage.waiting, loop.time())
-        question = self.limits.ask(tenant, shortfall, peers, loop.time())
-        answered: asyncio.Future[None] = loop.create_future()
-        shortage.answered = self._future_by_number[question.number] = answered
+        shortfall = self.limits.shortfall(tenant, shortage.waiting_requests, loop.time())
+        request = self.limits.ask(tenant, shortfall, peers, loop.time())
+        reply_received: asyncio.Future[None] = loop.create_future()
+        shortage.reply_received = self._future_by_number[request.number] = reply_received
         try:
-            self._link.send(question, peers)
-            await asyncio.wait([answered], timeout=ROUND_S)
+            self._link.send(request, peers)
+            await asyncio.wait([reply_received], timeout=GRANT_TIMEOUT_S)
         finally:
-            shortage.answered = None
-            del self._future_by_number[question.number]
-            if not answered.done():
-                answered.set_result(None)
-        return self.limits.full_lenders(question.number)
+            shortage.reply_received = None
+            del self._future_by_number[request.number]
+            if not reply_received.done():
+                reply_received.set_result(None)
+        return self.limits.full_lenders(request.number)
 
     def _refuse(self, tenant: Tenant, shortage: _Shortage, now_s: float) -> float:
         """Return when a request that is refused now may fit.
 
         Requests that were refused a moment ago come back first, each when one more fits.
         """
-        shortage.refused_s = [at_s for at_s in shortage.refused_s if now_s - at_s < REFUSED_S]
-        shortage.refused_s.append(now_s)
-        return self.limits.time_until_freed_s(tenant, len(shortage.refused_s), now_s)
+        shortage.rejected_at_s = [
+            at_s for at_s in shortage.rejected_at_s if now_s - at_s < RECENT_REJECTION_S
+        ]
+        shortage.rejected_at_s.append(now_s)
+        return self.limits.time_until_freed_s(tenant, len(shortage.rejected_at_s), now_s)
--- a/mountstand/tenants/stored_marks.py
+++ b/mountstand/tenants/stored_marks.py
@@ -19,7 +19,7 @@
 STORE_RETRY_DELAY_S = 0.25
 """Pause after a call to the store that failed."""
 
-WRITE_PAUSE_S = 0.2
+MIN_WRITE_INTERVAL_S = 0.2
 """Pause after a row was written; what is wanted meanwhile is written together."""
 
 BUCKET_S = 0.5
@@ -31,7 +31,7 @@
     """Writes this daemon's row whenever it is wanted.
 
     ``store_now_ms`` returns the store's clock and raises ``StoreError`` where it is not known.
-    ``window_s`` is how long requests count, ``began_s`` when this process started.
+    ``window_s`` is how long requests count, ``started_at_s`` when this process started.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         store_now_ms: Callable[[], int],
         window_s: Callable[[], float],
         log: DecisionLog,
-        began_s: float,
+        started_at_s: float,
     ) -> None:
         self._limits = limits
         self._store = store
@@ -50,7 +50,7 @@
         self._store_now_ms = store_now_ms
         self._window_s = window_s
         self._log = log
-        self._began_s = began_s
+        self._began_s = started_at_s
         self._starts_s: tuple[float, ...] = ()
         self._version = ABSENT
         self._wanted = asyncio.Event()
@@ -74,7 +74,7 @@
                 self._wanted.set()
                 continue
             self._limits.record_checkpoint(snapshot, _now_s())
-            await asyncio.sleep(WRITE_PAUSE_S)
+            await asyncio.sleep(MIN_WRITE_INTERVAL_S)
 
     async def _begin(self) -> None:
         """Learn what the processes before may have used, and note the start of this one."""
--- a/tests/model/test_tenant_limits.py
+++ b/tests/model/test_tenant_limits.py
@@ -591,6 +591,6 @@
             await asyncio.sleep(0.01)
             task.cancel()
             await asyncio.wait([task])
-            return gate._shortage_by_tenant["small"].waiting, len(gate._future_by_number)
+            return gate._shortage_by_tenant["small"].waiting_requests, len(gate._future_by_number)
 
         self.assertEqual((0, 0), run_paused(scenario()))
