--- a/mountstand/membership/caller_addresses.py
+++ b/mountstand/membership/caller_addresses.py
@@ -37,7 +37,7 @@
     regions: Regions,
     zone: str,
     serving: list[DaemonRow],
-    sound: list[DaemonRow],
+    unsuspected: list[DaemonRow],
     geography: Geography,
 ) -> list[DaemonRow]:
     """Return the daemons that callers in ``zone`` may send requests to that ``regions`` may serve.
@@ -48,7 +48,7 @@
     """
     own = frozenset({geography.region_of(zone)})
     for allowed in (own, regions):
-        for daemons in (serving, sound):
+        for daemons in (serving, unsuspected):
             found = [row for row in daemons if geography.allows(allowed, row.zone)]
             if found:
                 return found
--- a/mountstand/membership/registry.py
+++ b/mountstand/membership/registry.py
@@ -159,15 +159,15 @@
             if row.control_address and row.name in running and row.name != self.own.name
         ]
 
-    def sound(self) -> list[DaemonRow]:
+    def unsuspected(self) -> list[DaemonRow]:
         """Return the live daemons without suspected ones, unless most are suspected.
 
         A daemon that suspects most others is more likely cut off itself.
         """
         live = self.live()
         names = self.membership.sound_names() if self.membership is not None else set()
-        sound = [row for row in live if row.name in names or row.name == self.own.name]
-        return sound if 2 * len(sound) >= len(live) else live
+        unsuspected = [row for row in live if row.name in names or row.name == self.own.name]
+        return unsuspected if 2 * len(unsuspected) >= len(live) else live
 
     def live_tokens(self) -> dict[str, str]:
         """Return the processes that run, leaving ones included, by daemon name.
--- a/mountstand/platform/ingress.py
+++ b/mountstand/platform/ingress.py
@@ -60,7 +60,7 @@
         """Answer the platform's own checks."""
         responder.send(200 if self._node.ready else 503)
 
-    async def handle_directory(self, request: ServerRequest, responder: Responder) -> None:
+    async def handle_address_lookup(self, request: ServerRequest, responder: Responder) -> None:
         """Tell a caller which addresses to use."""
         if request.path != names.RESOLVE_PATH:
             responder.send(404)
@@ -69,7 +69,9 @@
         zone = query.get(names.CALLER_ZONE, [""])[0]
         host = query.get(names.CALLER_HOST, [""])[0]
         configuration = self._node.configuration
-        addresses = self._node.callers.addresses(configuration, host, zone) if configuration else []
+        addresses = (
+            self._node.daemon_locator.addresses(configuration, host, zone) if configuration else []
+        )
         if not addresses:
             reject(responder, RETRY_AFTER_UNAVAILABLE_S)
             return
--- a/mountstand/serving_callers.py
+++ b/mountstand/serving_callers.py
@@ -12,7 +12,7 @@
 from mountstand.serving.residency import Geography
 
 
-class CallerDirectory:
+class DaemonLocator:
     """Answers look-ups of callers.
 
     ``slots`` returns how many requests all workers run at once, ``evacuated_zones`` the zones that
@@ -38,12 +38,14 @@
         serving = self.serving()
         regions = configuration.regions_for_host(host)
         if regions is not None:
-            serving = in_regions(regions, zone, serving, self._registry.sound(), self._geography())
+            serving = in_regions(
+                regions, zone, serving, self._registry.unsuspected(), self._geography()
+            )
         return addresses_for(zone, serving, self._rng)
 
     def serving(self) -> list[DaemonRow]:
         """Return as few of the sound daemons as carry the load."""
-        sound = self._registry.sound()
-        peers = peers_outside_zones((row.as_peer() for row in sound), self._evacuated_zones())
+        unsuspected = self._registry.unsuspected()
+        peers = peers_outside_zones((row.as_peer() for row in unsuspected), self._evacuated_zones())
         serving = serving_daemons(peers, self._slots())
-        return [row for row in sound if row.name in serving]
+        return [row for row in unsuspected if row.name in serving]
--- a/mountstand/serving_listeners.py
+++ b/mountstand/serving_listeners.py
@@ -31,7 +31,7 @@
     async def handle_ready(self, request: ServerRequest, responder: Responder) -> None:
         """Tell whether callers may be sent here."""
 
-    async def handle_directory(self, request: ServerRequest, responder: Responder) -> None:
+    async def handle_address_lookup(self, request: ServerRequest, responder: Responder) -> None:
         """Tell a caller which addresses to use."""
 
 
@@ -60,7 +60,7 @@
         await self._callers.start(listeners.callers.host, listeners.callers.port)
         for address, handler in (
             (listeners.ready, interface.handle_ready),
-            (listeners.directory, interface.handle_directory),
+            (listeners.directory, interface.handle_address_lookup),
             (listeners.control, handle_peer),
         ):
             if address is not None:
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -36,7 +36,7 @@
 from mountstand.serving.worker_ends import WorkerCrashDetector
 from mountstand.serving.worker_protocol import WorkerProtocol
 from mountstand.serving.workers import WorkerDirectory
-from mountstand.serving_callers import CallerDirectory
+from mountstand.serving_callers import DaemonLocator
 from mountstand.serving_feeds import FeedTargets, ServingFeeds
 from mountstand.serving_limits import ServingLimits
 from mountstand.serving_listeners import CallerInterface, ServingListeners
@@ -193,7 +193,7 @@
             metrics,
             log,
         )
-        self.callers = CallerDirectory(
+        self.callers = DaemonLocator(
             self.registry,
             self.directory.slots,
             lambda: self._zones.evacuated,
