--- a/mountstand/limits/window.py
+++ b/mountstand/limits/window.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Iterable
 
-BUCKET_WIDTH_S = 0.1
+MERGE_INTERVAL_S = 0.1
 """Amounts given away together are kept as one; they come back when the last of them would."""
 
 
@@ -26,7 +26,7 @@
             self._take_back(-amount)
             return
         self.total += amount
-        if self._amounts and now_s - self._amounts[-1][0] < BUCKET_WIDTH_S:
+        if self._amounts and now_s - self._amounts[-1][0] < MERGE_INTERVAL_S:
             at_s, known = self._amounts[-1]
             self._amounts[-1] = (at_s, known + amount)
         else:
@@ -44,7 +44,7 @@
 
     def evict_expired(self, now_s: float) -> None:
         """Let go what was added longer ago than the span."""
-        while self._amounts and now_s - self._amounts[0][0] > self._span_s + BUCKET_WIDTH_S:
+        while self._amounts and now_s - self._amounts[0][0] > self._span_s + MERGE_INTERVAL_S:
             self.total -= self._amounts.popleft()[1]
         if not self._amounts:
             self.total = 0.0
@@ -55,8 +55,8 @@
         for at_s, added in self._amounts:
             gone += added
             if gone >= amount:
-                return max(0.0, at_s + self._span_s + BUCKET_WIDTH_S - now_s)
-        return self._span_s + BUCKET_WIDTH_S
+                return max(0.0, at_s + self._span_s + MERGE_INTERVAL_S - now_s)
+        return self._span_s + MERGE_INTERVAL_S
 
     def _take_back(self, amount: float) -> None:
         while amount > 0 and self._amounts:
--- a/mountstand/serving/configuration.py
+++ b/mountstand/serving/configuration.py
@@ -128,7 +128,7 @@
         These are the regions that all routes of the host allow. Who calls is not known there; if
         some tenants are bound to regions, none is allowed.
         """
-        regions = ANYWHERE if not self.tenants.any_region_restricted else frozenset()
+        regions = ANYWHERE if not self.tenants.has_region_restricted_tenants else frozenset()
         for route in self._routes_of(host):
             regions = in_both(regions, route.regions)
         return regions
--- a/mountstand/serving_limits.py
+++ b/mountstand/serving_limits.py
@@ -17,7 +17,7 @@
 from mountstand.telemetry.decisions import DecisionLog
 from mountstand.tenants.gate import LimitGate
 from mountstand.tenants.limits import LOAN_TTL_S, TenantLimits
-from mountstand.tenants.marks import UsageCheckpoint
+from mountstand.tenants.marks import CheckpointState
 from mountstand.tenants.stored_marks import UsageCheckpointWriter
 from mountstand.tenants.tenant import TenantIndex
 from mountstand.wire.gossip import TokenAsk, TokenGrant
@@ -47,7 +47,7 @@
         self._later: asyncio.TimerHandle | None = None
         self._limits = TenantLimits(
             self.limit_sharing,
-            UsageCheckpoint(),
+            CheckpointState(),
             settings.limit_tolerance,
             secrets.randbits(NUMBER_BITS),
         )
--- a/mountstand/tenants/access.py
+++ b/mountstand/tenants/access.py
@@ -51,7 +51,7 @@
         """Count a request of a tenant. Raises ``TenantOverLimit`` with the time to come back."""
         if tenant is None or self._gate.try_acquire(tenant):
             return
-        retry_after_s = await self._gate.borrow(tenant)
+        retry_after_s = await self._gate.borrow_or_reject(tenant)
         if retry_after_s is None:
             return
         self._metrics.caller_denied(TenantOverLimit.code)
--- a/mountstand/tenants/gate.py
+++ b/mountstand/tenants/gate.py
@@ -66,7 +66,7 @@
         """Count a request no more that reached no worker."""
         self.limits.refund(tenant, self._now_s())
 
-    async def borrow(self, tenant: Tenant) -> float | None:
+    async def borrow_or_reject(self, tenant: Tenant) -> float | None:
         """Count a request with the help of others; returns ``None``, or when one may fit."""
         loop = asyncio.get_running_loop()
         shortage = self._shortage_by_tenant.setdefault(tenant.name, _Shortage())
--- a/mountstand/tenants/limits.py
+++ b/mountstand/tenants/limits.py
@@ -22,9 +22,9 @@
 from mountstand.limits.window import SlidingSum
 from mountstand.tenants.marks import (
     SHARE_TOLERANCE,
+    CheckpointState,
     PriorUsage,
     TimedAmounts,
-    UsageCheckpoint,
     UsageSnapshot,
 )
 from mountstand.tenants.tenant import Tenant, TenantIndex
@@ -84,7 +84,7 @@
         """Return how many requests all parts together hold."""
         return self.window_limit(tenant) + self.tolerated_excess(tenant) * QUOTA_EXCESS_FRACTION
 
-    def uncheckpointed_quota(self, tenant: Tenant) -> float:
+    def fleet_uncheckpointed_allowance(self, tenant: Tenant) -> float:
         """Return how many of these may be used beyond what the store has."""
         return self.fleet_quota(tenant) * UNCHECKPOINTED_FRACTION
 
@@ -105,12 +105,12 @@
     lent: SlidingSum
     prior_usage: SlidingSum
     checkpointed: SlidingSum
-    includes_prior: bool = False
+    prior_allowance_added: bool = False
     borrowed: float = 0.0
     borrowed_expires_s: float = 0.0
 
     @property
-    def consumed(self) -> float:
+    def committed(self) -> float:
         """What is missing in the part."""
         return self.used.total + self.lent.total + self.prior_usage.total
 
@@ -170,7 +170,7 @@
     def __init__(
         self,
         limit_sharing: LimitSharing,
-        checkpoint_XX: UsageCheckpoint,
+        checkpoint_XX: CheckpointState,
         tolerance: LimitTolerance,
         initial_request_number: int,
     ) -> None:
@@ -264,14 +264,14 @@
         usage = self._part(tenant, now_s)
         share = self.limit_sharing.share
         if self.checkpoint_XX.prior_usage is None:
-            return max(0.0, self._tolerance.startup_quota(tenant) * share - usage.consumed)
+            return max(0.0, self._tolerance.startup_quota(tenant) * share - usage.committed)
         allowance = self._unmarked_allowance(tenant)
         if (
             usage.uncheckpointed > allowance * CHECKPOINT_TRIGGER_FRACTION
             or share > self.checkpoint_XX.share * SHARE_TOLERANCE
         ):
             self.checkpoint_XX.request_write()
-        available = self._tolerance.fleet_quota(tenant) * share - usage.consumed
+        available = self._tolerance.fleet_quota(tenant) * share - usage.committed
         return max(0.0, min(available, allowance - usage.uncheckpointed))
 
     def time_until_freed_s(self, tenant: Tenant, requests: int, now_s: float) -> float:
@@ -281,14 +281,18 @@
     def _unmarked_allowance(self, tenant: Tenant) -> float:
         """Return how much may be used beyond what the store has, which knows an older share."""
         share = min(self.limit_sharing.share, self.checkpoint_XX.share)
-        return self._tolerance.uncheckpointed_quota(tenant) * share
+        return self._tolerance.fleet_uncheckpointed_allowance(tenant) * share
 
     def _part(self, tenant: Tenant, now_s: float) -> TenantUsage:
         usage = self._part_of(tenant.number, now_s)
         prior_usage = self.checkpoint_XX.prior_usage
-        if prior_usage is not None and prior_usage.start_times_s and not usage.includes_prior:
-            usage.includes_prior = True
-            amount = self._tolerance.uncheckpointed_quota(tenant) * prior_usage.share
+        if (
+            prior_usage is not None
+            and prior_usage.start_times_s
+            and not usage.prior_allowance_added
+        ):
+            usage.prior_allowance_added = True
+            amount = self._tolerance.fleet_uncheckpointed_allowance(tenant) * prior_usage.share
             usage.prior_usage.add_backdated(
                 [(at_s, amount) for at_s in prior_usage.start_times_s], now_s
             )
--- a/mountstand/tenants/marks.py
+++ b/mountstand/tenants/marks.py
@@ -43,7 +43,7 @@
     by_tenant: Mapping[int, TimedAmounts]
 
 
-class UsageCheckpoint:
+class CheckpointState:
     """Whether the row of this process is there, and whether it should be written.
 
     ``on_write_requested`` is called when it should be written soon.
--- a/mountstand/tenants/stored_marks.py
+++ b/mountstand/tenants/stored_marks.py
@@ -22,7 +22,7 @@
 MIN_WRITE_INTERVAL_S = 0.2
 """Pause after a row was written; what is wanted meanwhile is written together."""
 
-BUCKET_S = 0.5
+CHECKPOINT_BUCKET_S = 0.5
 """Amounts that were let through within so long stand together in the row, as of the last: they
 count a quarter of a second too long on average, for a tenth of the bytes."""
 
@@ -31,7 +31,7 @@
     """Writes this daemon's row whenever it is wanted.
 
     ``store_now_ms`` returns the store's clock and raises ``StoreError`` where it is not known.
-    ``window_s`` is how long requests count, ``started_at_s`` when this process started.
+    ``get_window_s`` is how long requests count, ``started_at_s`` when this process started.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         store: RowStore,
         name: str,
         store_now_ms: Callable[[], int],
-        window_s: Callable[[], float],
+        get_window_s: Callable[[], float],
         log: DecisionLog,
         started_at_s: float,
     ) -> None:
@@ -48,7 +48,7 @@
         self._store = store
         self._key = RowKey(TENANT_USAGE_TABLE, "", name)
         self._store_now_ms = store_now_ms
-        self._window_s = window_s
+        self._window_s = get_window_s
         self._log = log
         self._began_s = started_at_s
         self._starts_s: tuple[float, ...] = ()
@@ -154,7 +154,7 @@
     """Return amounts summed up by time, each sum as of its last amount."""
     buckets: list[tuple[float, float, float]] = []
     for at_s, amount in amounts:
-        if buckets and at_s - buckets[-1][0] < BUCKET_S:
+        if buckets and at_s - buckets[-1][0] < CHECKPOINT_BUCKET_S:
             first_s, _, known = buckets[-1]
             buckets[-1] = (first_s, at_s, known + amount)
         else:
--- a/mountstand/tenants/tenant.py
+++ b/mountstand/tenants/tenant.py
@@ -49,11 +49,11 @@
 class TenantIndex:
     """The tenants of one version of the configuration, by name and by key."""
 
-    __slots__ = ("_by_key", "any_region_restricted", "by_name")
+    __slots__ = ("_by_key", "has_region_restricted_tenants", "by_name")
 
     def __init__(self, tenants: Iterable[Tenant] = ()) -> None:
         self.by_name = {tenant.name: tenant for tenant in tenants}
-        self.any_region_restricted = any(
+        self.has_region_restricted_tenants = any(
             tenant.regions is not None for tenant in self.by_name.values()
         )
         """Whether requests of some tenants may be served in some regions alone."""
--- a/tests/model/limit_fleet.py
+++ b/tests/model/limit_fleet.py
@@ -15,7 +15,7 @@
 from mountstand.store.memory_rows import MemoryRowStore
 from mountstand.tenants.gate import LimitGate
 from mountstand.tenants.limits import LOAN_TTL_S, LimitTolerance, TenantLimits
-from mountstand.tenants.marks import UsageCheckpoint
+from mountstand.tenants.marks import CheckpointState
 from mountstand.tenants.stored_marks import UsageCheckpointWriter
 from mountstand.tenants.tenant import Tenant, TenantIndex
 from mountstand.wire.gossip import TokenAsk, TokenGrant
@@ -81,7 +81,7 @@
         now_s = self.loop.time()
         limit_sharing = LimitSharing(name)
         limit_sharing.update_members(self.names, self.names)
-        limits = TenantLimits(limit_sharing, UsageCheckpoint(), TOLERANCE, self.rng.getrandbits(62))
+        limits = TenantLimits(limit_sharing, CheckpointState(), TOLERANCE, self.rng.getrandbits(62))
         limits.set_tenants(self.tenants)
         self._gate_by_name[name] = LimitGate(limits, SimulatedLink(self, name), self.rng)
         self._keep_marks(name, limits, now_s)
@@ -135,7 +135,7 @@
         gate = self._gate_by_name[name]
         retry_after_s = None
         if not gate.try_acquire(tenant):
-            retry_after_s = await gate.borrow(tenant) if self.lends else 1.0
+            retry_after_s = await gate.borrow_or_reject(tenant) if self.lends else 1.0
         if retry_after_s is None:
             self.admitted_s[tenant.name].append(self.loop.time())
         else:
--- a/tests/model/test_tenant_limits.py
+++ b/tests/model/test_tenant_limits.py
@@ -19,7 +19,7 @@
     MAX_CHECKPOINT_TENANTS,
     TenantLimits,
 )
-from mountstand.tenants.marks import PriorUsage, UsageCheckpoint, UsageSnapshot
+from mountstand.tenants.marks import CheckpointState, PriorUsage, UsageSnapshot
 from mountstand.tenants.stored_marks import _encoded
 from mountstand.tenants.tenant import Tenant, TenantIndex
 from mountstand.wire.gossip import GossipBodies, TokenAsk, TokenGrant
@@ -55,7 +55,7 @@
 
 def started(limit_sharing: LimitSharing, prior_usage: PriorUsage = NOTHING_BEFORE) -> TenantLimits:
     """Return the limits of a process that knows what was before it, and whose row says so."""
-    limits = TenantLimits(limit_sharing, UsageCheckpoint(), TOLERANCE, 7)
+    limits = TenantLimits(limit_sharing, CheckpointState(), TOLERANCE, 7)
     limits.set_tenants(TenantIndex(TENANTS))
     limits.apply_prior_usage(prior_usage, 10.0)
     limits.record_checkpoint(UsageSnapshot(limit_sharing.share, prior_usage.by_tenant), 10.0)
@@ -358,12 +358,15 @@
     def test_before_the_store_is_read_little_is_there(self) -> None:
         limit_sharing = LimitSharing("a")
         limit_sharing.update_members(["a"], ["a"])
-        limits = TenantLimits(limit_sharing, UsageCheckpoint(), TOLERANCE, 7)
+        limits = TenantLimits(limit_sharing, CheckpointState(), TOLERANCE, 7)
         limits.set_tenants(TenantIndex(TENANTS))
         self.assertAlmostEqual(TOLERANCE.startup_quota(LARGE), limits.left(LARGE, 0.1))
 
     def test_what_processes_before_used_is_missing_until_its_window_is_over(self) -> None:
-        whole, allowance = TOLERANCE.fleet_quota(LARGE), TOLERANCE.uncheckpointed_quota(LARGE)
+        whole, allowance = (
+            TOLERANCE.fleet_quota(LARGE),
+            TOLERANCE.fleet_uncheckpointed_allowance(LARGE),
+        )
         told = PriorUsage((10.0,), 1.0, {LARGE.number: ((8.0, 60.0), (9.5, 20.0))})
         limits = self.lone(told)
         cases = (
@@ -379,7 +382,7 @@
 
     def test_a_tenant_that_the_store_does_not_name_may_have_used_what_is_unmarked(self) -> None:
         told = PriorUsage((10.0,), 1.0, {SMALL.number: ((8.0, 5.0),)})
-        allowance = TOLERANCE.uncheckpointed_quota(LARGE)
+        allowance = TOLERANCE.fleet_uncheckpointed_allowance(LARGE)
         limits = self.lone(told)
         self.assertAlmostEqual(allowance, limits.left(LARGE, 10.1))
         taken = self.take_all(limits, 10.1)
@@ -387,9 +390,12 @@
 
     def test_several_starts_within_a_window_count_each(self) -> None:
         told = PriorUsage((8.0, 10.0), 0.4, {})
-        expected = TOLERANCE.fleet_quota(LARGE) - 2 * 0.4 * TOLERANCE.uncheckpointed_quota(LARGE)
+        expected = TOLERANCE.fleet_quota(
+            LARGE
+        ) - 2 * 0.4 * TOLERANCE.fleet_uncheckpointed_allowance(LARGE)
         self.assertAlmostEqual(
-            min(expected, TOLERANCE.uncheckpointed_quota(LARGE)), self.lone(told).left(LARGE, 10.1)
+            min(expected, TOLERANCE.fleet_uncheckpointed_allowance(LARGE)),
+            self.lone(told).left(LARGE, 10.1),
         )
 
     def test_two_processes_together_keep_the_bound(self) -> None:
@@ -406,7 +412,7 @@
             taken += 1
             if len(wanted) == 1:
                 asked_at = taken
-        allowance = TOLERANCE.uncheckpointed_quota(LARGE)
+        allowance = TOLERANCE.fleet_uncheckpointed_allowance(LARGE)
         self.assertAlmostEqual(allowance, taken, delta=1)
         self.assertAlmostEqual(allowance * CHECKPOINT_TRIGGER_FRACTION, asked_at, delta=2)
         taken += self.take_all(limits, 20.0)
@@ -436,7 +442,7 @@
         self.assertEqual(MAX_CHECKPOINT_TENANTS, len(snapshot.by_tenant))
         self.assertTrue(all(int(t.name[1:]) % 2 for t in tenants if t.number in snapshot.by_tenant))
         limits.record_checkpoint(snapshot, 20.0)
-        allowance = TOLERANCE.uncheckpointed_quota(tenants[0])
+        allowance = TOLERANCE.fleet_uncheckpointed_allowance(tenants[0])
         self.assertAlmostEqual(allowance - 2, limits.left(tenants[0], 20.0))
 
     def test_a_row_of_many_tenants_fits(self) -> None:
@@ -587,7 +593,7 @@
             gate = fleet._gate_by_name["d0"]
             while gate.try_acquire(SMALL):
                 pass
-            task = asyncio.create_task(gate.borrow(SMALL))
+            task = asyncio.create_task(gate.borrow_or_reject(SMALL))
             await asyncio.sleep(0.01)
             task.cancel()
             await asyncio.wait([task])
--- a/tests/serving/test_caller_access.py
+++ b/tests/serving/test_caller_access.py
@@ -15,7 +15,7 @@
 from mountstand.tenants.errors import KeyNotVerifiable, TenantOverLimit, UnknownKey
 from mountstand.tenants.gate import LimitGate
 from mountstand.tenants.limits import LimitTolerance, TenantLimits
-from mountstand.tenants.marks import PriorUsage, UsageCheckpoint, UsageSnapshot
+from mountstand.tenants.marks import CheckpointState, PriorUsage, UsageSnapshot
 from mountstand.tenants.tenant import Tenant, TenantIndex
 from mountstand.wire.gossip import TokenAsk, TokenGrant
 from tests.stand_ins.harness import RecordingLog
@@ -41,7 +41,7 @@
         self.metrics = ServingMetrics()
         limit_sharing = LimitSharing("d")
         limit_sharing.update_members(["d"], ["d"])
-        limits = TenantLimits(limit_sharing, UsageCheckpoint(), LimitTolerance(), 1)
+        limits = TenantLimits(limit_sharing, CheckpointState(), LimitTolerance(), 1)
         limits.set_tenants(TENANTS)
         limits.apply_prior_usage(PriorUsage(), began_s)
         limits.record_checkpoint(UsageSnapshot(limit_sharing.share, {}), began_s)
