--- a/mountstand/serving/batch_room.py
+++ b/mountstand/serving/batch_room.py
@@ -1,9 +1,9 @@
-"""Which slots batch work may take, in which order, and when it gives them back.
+"""Schedule batch items on free slots and preempt them for online requests.
 
-Workers admit requests in order, so batch work must never be in front of online work. It takes
-slots that are free and gives them back by closing its streams as soon as online requests would wait
-too long (:mod:`mountstand.serving.online_queue`). An item that is taken off goes on later after its
-last whole event, at the cost of reading its prompt again.
+Workers serve requests in order of arrival, so a batch item queued at a worker would delay online
+requests. Batch items therefore only take free slots, and are preempted by closing their streams as
+soon as online requests would wait too long (:mod:`mountstand.serving.online_queue`). A preempted
+item resumes later after its last complete event; its prompt then has to be processed again.
 """
 
 from __future__ import annotations
@@ -16,212 +16,237 @@
 
 from mountstand.serving.online_queue import OnlineQueue
 from mountstand.serving.slot_demand import SlotDemand, WaitingCounts
-from mountstand.serving.spread import round_by_chance
+from mountstand.serving.spread import stochastic_round
 from mountstand.serving.worker import Worker
 from mountstand.serving.worker_choice import TARGET_UTILIZATION
 from mountstand.serving.workers import WorkerDirectory
 
 
-def _free_slots(workers: list[Worker], now_s: float) -> float:
-    """Return how many slots of ``workers`` batch work may take in all."""
+def _slots_free_for_batch(workers: list[Worker], now_s: float) -> float:
+    """Return how many free slots of ``workers`` batch items may take."""
     usable = [worker for worker in workers if worker.is_available(now_s)]
     free = sum(max(0.0, worker.slots() - worker.estimated_load(now_s)) for worker in usable)
-    return max(0.0, free - usual_fluctuation(sum(worker.online for worker in usable)))
+    return max(0.0, free - online_headroom(sum(worker.online for worker in usable)))
 
 
-def usual_fluctuation(online: int) -> float:
-    """Return by how many slots ``online`` requests in flight usually vary within moments.
+def online_headroom(online_in_flight: int) -> float:
+    """Return how many slots to leave free for fluctuations of the online load.
 
-    Independent arrivals make the number that runs vary by its square root (Poisson). Batch work
-    leaves so many slots free, since taking an item off costs reading its prompt again.
+    With independent arrivals (Poisson), the number of requests in flight has a standard deviation
+    equal to its square root. Without this headroom, batch items would be preempted on each
+    fluctuation, and each preemption makes a worker process the prompt again.
     """
-    return math.sqrt(online)
+    return math.sqrt(online_in_flight)
 
 
 @dataclass(frozen=True, slots=True)
 class Urgency:
-    """When an item is due, and how long it has still to run as far as can be told.
+    """The deadline of a batch item and an estimate of how long it still has to run.
 
-    Items that can still be in time go before those that cannot, and among equals the earliest
-    due: with too few slots some are in time, where equal shares would make all late. Of those due
-    together, as the items of one job, the one with the least left to run goes first: an item that
-    was taken off would otherwise wait for all others of its job, again each time. ``priority``, 0
-    being the most urgent, goes before the due time among those in time, and among the others.
+    Items that can finish on time go first, by priority (0 is the most urgent) and then earliest
+    deadline. Under a shortage of slots this completes some items on time, whereas equal shares
+    would make all of them late. Among equal deadlines, as within one job, the item with the least
+    remaining run time goes first; otherwise a preempted item would wait for all other items of its
+    job after each preemption.
     """
 
-    due_at_s: float
-    run_s: float = 0.0
+    deadline_s: float
+    remaining_run_s: float = 0.0
     priority: int = 0
 
-    def in_time(self, now_s: float) -> bool:
-        """Return whether the item ends before it is due if it begins now."""
-        return now_s + self.run_s <= self.due_at_s
-
-    def rank(self, now_s: float) -> tuple[bool, int, float, float]:
-        """Return the item's place in the order of those that begin now; the least goes first."""
-        return (not self.in_time(now_s), self.priority, self.due_at_s, self.run_s)
+    def can_finish_on_time(self, now_s: float) -> bool:
+        """Return whether the item meets its deadline if it starts now."""
+        return now_s + self.remaining_run_s <= self.deadline_s
+
+    def sort_key(self, now_s: float) -> tuple[bool, int, float, float]:
+        """Return the key that orders waiting items; the smallest starts first."""
+        return (
+            not self.can_finish_on_time(now_s),
+            self.priority,
+            self.deadline_s,
+            self.remaining_run_s,
+        )
 
 
 @dataclass(eq=False)
 class Placement:
-    """A batch item's place at a worker, from its grant until ``BatchScheduler.release``."""
+    """A batch item's slot at a worker, held from its grant until ``BatchScheduler.release``."""
 
     worker: Worker
     urgency: Urgency
     granted_at_s: float
     preempt: Callable[[], None] = lambda: None
+    """Called once to preempt the item. The slot counts as used until ``BatchScheduler.release``."""
 
-    def rank(self, now_s: float) -> tuple[bool, int, float, float]:
-        """Return the item's place in the order of those that run; the greatest gives way first."""
+    def sort_key(self, now_s: float) -> tuple[bool, int, float, float]:
+        """Return the key that orders running items; the largest is preempted first."""
         ran_s = now_s - self.granted_at_s
-        left_s = max(0.0, self.urgency.run_s - ran_s)
-        return replace(self.urgency, run_s=left_s).rank(now_s)
+        remaining_s = max(0.0, self.urgency.remaining_run_s - ran_s)
+        return replace(self.urgency, remaining_run_s=remaining_s).sort_key(now_s)
 
 
 @dataclass(slots=True)
-class _Waiter:
-    """An item that waits for a slot."""
-
+class _WaitingItem:
     urgency: Urgency
-    granted: asyncio.Future[Placement]
+    assignment: asyncio.Future[Placement]
 
 
 class BatchScheduler:
-    """Shares the free slots out among daemons, and preempts this daemon's items."""
+    """Grants slots to this daemon's batch items and preempts them for online requests.
+
+    Each daemon schedules its own items and takes its share of the free slots of all workers.
+    """
 
     def __init__(
-        self, directory: WorkerDirectory, online: OnlineQueue, source: random.Random
+        self, directory: WorkerDirectory, online_queue: OnlineQueue, rng: random.Random
     ) -> None:
         self._directory = directory
-        self._online = online
-        self._source = source
+        self._online_queue = online_queue
+        self._rng = rng
         self.demand = SlotDemand()
-        self.durations = online.batch_durations
-        online.preempt_batch_item = self.preempt_batch_item
-        self._waiting: dict[str, list[_Waiter]] = {}
+        self.durations = online_queue.batch_durations
+        online_queue.preempt_batch_item = self.preempt_batch_item
+        self._waiting_items_by_pool: dict[str, list[_WaitingItem]] = {}
         self._placements_by_worker_id: dict[str, list[Placement]] = {}
 
-    async def acquire(self, service: str, urgency: Urgency) -> Placement:
-        """Wait for a slot at a worker of ``service``; the caller must release it."""
-        granted: asyncio.Future[Placement] = asyncio.get_running_loop().create_future()
-        self._waiting.setdefault(service, []).append(_Waiter(urgency, granted))
+    async def acquire(self, pool: str, urgency: Urgency) -> Placement:
+        """Wait for a slot at a worker of ``pool``; the caller must release it."""
+        assignment: asyncio.Future[Placement] = asyncio.get_running_loop().create_future()
+        self._waiting_items_by_pool.setdefault(pool, []).append(_WaitingItem(urgency, assignment))
         try:
-            return await granted
+            return await assignment
         except asyncio.CancelledError:
-            if granted.done() and not granted.cancelled():
-                self.release(granted.result())
+            if assignment.done() and not assignment.cancelled():
+                self.release(assignment.result())
             raise
 
     def release(self, placement: Placement) -> None:
-        """Give a slot back."""
+        """Release the slot, and offer it to waiting online requests."""
         worker = placement.worker
         worker.in_flight -= 1
         worker.batch_in_flight -= 1
         placements = self._placements_by_worker_id.get(worker.record.worker_id, [])
         if placement in placements:
             placements.remove(placement)
-        self._online.assign_freed_slot(worker, asyncio.get_running_loop().time())
+        self._online_queue.assign_freed_slot(worker, asyncio.get_running_loop().time())
 
     def tick(self, now_s: float, hops: int = 0) -> None:
-        """Preempt and grant; call once per period of the digests.
+        """Preempt items and grant slots; call once per load digest period.
 
-        Every daemon sees the same free slots, so each takes the part of them that its waiting
-        items are of all that wait. Word of that takes ``hops`` digests, half a period each on
-        average: what was taken or given up in the meantime must not be so again.
+        Every daemon sees the same free slots, so each takes the fraction of them that its waiting
+        items are of all waiting items. A change passes through ``hops`` digests before every daemon
+        knows it; each adds half a period on average. Each daemon therefore takes or releases only
+        part of its share per call, so that slots taken or released since then are not taken or
+        released again.
         """
-        part = 1 / (1 + hops / 2)
-        self._order_waiting(now_s)
-        running = self._services_running()
-        for service in running:
+        step_fraction = 1 / (1 + hops / 2)
+        self._sort_waiting_items(now_s)
+        services_with_running_items = self._services_with_running_items()
+        for service in services_with_running_items:
             for worker in self._directory.active_workers(service):
-                self._preempt_excess(worker, now_s, part)
-        waiting = {service for service, waiters in self._waiting.items() if waiters}
-        pools = running | waiting
-        if running:
-            pools |= self._online.pools_waiting
-        for service in pools:
-            if self._online.waiting(service):
-                self._preempt_for_waiting(service, now_s, part)
+                self._preempt_excess_items(worker, now_s, step_fraction)
+        pools_with_waiting_items = {
+            pool for pool, items in self._waiting_items_by_pool.items() if items
+        }
+        pools = services_with_running_items | pools_with_waiting_items
+        if services_with_running_items:
+            pools |= self._online_queue.pools_with_waiting_requests
+        for pool in pools:
+            if self._online_queue.waiting_count(pool):
+                self._preempt_for_waiting_requests(pool, now_s, step_fraction)
             else:
-                workers = self._directory.active_workers(service)
-                allowed = self.demand.share_of(service, _free_slots(workers, now_s)) * part
-                self._grant(service, round_by_chance(allowed, self._source), now_s)
-
-    def _services_running(self) -> set[str]:
-        """Return the services of this daemon's items that run."""
+                workers = self._directory.active_workers(pool)
+                allowance = (
+                    self.demand.own_share(pool, _slots_free_for_batch(workers, now_s))
+                    * step_fraction
+                )
+                self._grant_slots(pool, stochastic_round(allowance, self._rng), now_s)
+
+    def _services_with_running_items(self) -> set[str]:
+        """Return the services for which this daemon's batch items are running."""
         return {
             placements[0].worker.record.service
             for placements in self._placements_by_worker_id.values()
             if placements
         }
 
-    def _order_waiting(self, now_s: float) -> None:
-        """Put the waiting items in order, since some became late meanwhile, and count them."""
-        for service, waiters in self._waiting.items():
-            waiters[:] = [waiter for waiter in waiters if not waiter.granted.done()]
-            waiters.sort(key=lambda waiter: waiter.urgency.rank(now_s))
-            in_time = sum(waiter.urgency.in_time(now_s) for waiter in waiters)
-            self.demand.own_by_service[service] = WaitingCounts(in_time, len(waiters) - in_time)
+    def _sort_waiting_items(self, now_s: float) -> None:
+        """Drop finished waits, sort the others by urgency and update the demand counts.
+
+        Call this on each tick, since items become late while they wait.
+        """
+        for pool, items in self._waiting_items_by_pool.items():
+            items[:] = [item for item in items if not item.assignment.done()]
+            items.sort(key=lambda item: item.urgency.sort_key(now_s))
+            on_time = sum(item.urgency.can_finish_on_time(now_s) for item in items)
+            self.demand.own_by_service[pool] = WaitingCounts(on_time, len(items) - on_time)
 
     def preempt_for_online(self, worker: Worker, now_s: float) -> None:
-        """Take one item off a worker that is full, since an online request is sent there."""
-        if worker.batch_in_flight and self._online.excess(worker, now_s) > 0:
+        """Preempt one item at an overloaded worker that is about to get an online request."""
+        if worker.batch_in_flight and self._online_queue.excess_load(worker, now_s) > 0:
             self._preempt_least_urgent(self._placements_at(worker))
 
-    def preempt_batch_item(self, service: str) -> Worker | None:
-        """Take this daemon's least urgent item of a service off, if there is one; return where."""
+    def preempt_batch_item(self, pool: str) -> Worker | None:
+        """Preempt this daemon's least urgent item of a pool and return its worker.
+
+        Return ``None`` if no such item is running.
+        """
         return self._preempt_least_urgent(
             [
                 placement
                 for placements in self._placements_by_worker_id.values()
                 for placement in placements
-                if self._directory.pool_contains(service, placement.worker)
+                if self._directory.pool_contains(pool, placement.worker)
             ]
         )
 
     def preempt_all(self, worker: Worker) -> int:
-        """Take all of this daemon's items off a worker; returns how many there were."""
+        """Preempt all of this daemon's items at a worker; return how many there were."""
         placements = list(self._placements_at(worker))
         for _ in placements:
             self._preempt_least_urgent(self._placements_at(worker))
         return len(placements)
 
-    def _grant(self, service: str, allowance: int, now_s: float) -> None:
-        waiting = self._waiting.get(service, [])
-        while waiting and allowance > 0:
-            worker = self._directory.choose_below_utilization(service, TARGET_UTILIZATION, now_s)
+    def _grant_slots(self, pool: str, allowance: int, now_s: float) -> None:
+        waiting_items = self._waiting_items_by_pool.get(pool, [])
+        while waiting_items and allowance > 0:
+            worker = self._directory.choose_below_utilization(pool, TARGET_UTILIZATION, now_s)
             if worker is None:
                 return
-            waiter = waiting.pop(0)
+            item = waiting_items.pop(0)
             worker.in_flight += 1
             worker.batch_in_flight += 1
-            placement = Placement(worker, waiter.urgency, now_s)
+            placement = Placement(worker, item.urgency, now_s)
             self._placements_by_worker_id.setdefault(worker.record.worker_id, []).append(placement)
-            waiter.granted.set_result(placement)
+            item.assignment.set_result(placement)
             allowance -= 1
 
-    def _preempt_excess(self, worker: Worker, now_s: float, part: float) -> None:
-        """Take off this daemon's part of the batch items that are too many."""
+    def _preempt_excess_items(self, worker: Worker, now_s: float, step_fraction: float) -> None:
+        """Preempt this daemon's share of the items that exceed the worker's load limit."""
         if not worker.batch_in_flight:
             return
-        excess = self._online.excess(worker, now_s)
-        if excess <= 0:
+        excess_load = self._online_queue.excess_load(worker, now_s)
+        if excess_load <= 0:
             return
         share = worker.batch_in_flight / max(1, worker.batch)
-        count = round_by_chance(excess * share * part, self._source)
+        count = stochastic_round(excess_load * share * step_fraction, self._rng)
         for _ in range(min(worker.batch_in_flight, count)):
             self._preempt_least_urgent(self._placements_at(worker))
 
-    def _preempt_for_waiting(self, service: str, now_s: float, part: float) -> None:
-        """Take off this daemon's part of the items whose slots waiting online requests lack."""
-        workers = self._directory.active_workers(service)
-        own = sum(worker.batch_in_flight for worker in workers)
-        lacking = self._online.waiting(service) - self._online.room(service, now_s)
-        if not own or lacking <= 0:
+    def _preempt_for_waiting_requests(self, pool: str, now_s: float, step_fraction: float) -> None:
+        """Preempt this daemon's share of the items whose slots waiting online requests need."""
+        workers = self._directory.active_workers(pool)
+        own_items = sum(worker.batch_in_flight for worker in workers)
+        missing_slots = self._online_queue.waiting_count(pool) - self._online_queue.free_capacity(
+            pool, now_s
+        )
+        if not own_items or missing_slots <= 0:
             return
-        share = own / sum(worker.batch for worker in workers)
-        for _ in range(min(own, round_by_chance(lacking * share * part, self._source))):
-            self.preempt_batch_item(service)
+        share = own_items / sum(worker.batch for worker in workers)
+        for _ in range(
+            min(own_items, stochastic_round(missing_slots * share * step_fraction, self._rng))
+        ):
+            self.preempt_batch_item(pool)
 
     def _placements_at(self, worker: Worker) -> list[Placement]:
         return self._placements_by_worker_id.get(worker.record.worker_id, [])
@@ -230,13 +255,15 @@
         if not placements:
             return None
         now_s = asyncio.get_running_loop().time()
-        placement = max(placements, key=lambda each: each.rank(now_s))
+        placement = max(placements, key=lambda each: each.sort_key(now_s))
         self._placements_at(placement.worker).remove(placement)
         placement.preempt()
         return placement.worker
 
-    def prune_placements(self, workers: set[str]) -> None:
-        """Drop what is kept of workers that are gone."""
-        for worker_id in [known for known in self._placements_by_worker_id if known not in workers]:
+    def prune_placements(self, known_worker_ids: set[str]) -> None:
+        """Discard the empty placement lists of workers that are no longer known."""
+        for worker_id in [
+            each for each in self._placements_by_worker_id if each not in known_worker_ids
+        ]:
             if not self._placements_by_worker_id[worker_id]:
                 del self._placements_by_worker_id[worker_id]
--- a/mountstand/serving/fair_shares.py
+++ b/mountstand/serving/fair_shares.py
@@ -1,15 +1,14 @@
-"""Whose requests go behind others when a service has less room than is asked for.
+"""Determine which tenants are over their fair share of a service's slots.
 
-Each tenant has a fair share of the slot time that requests take: in proportion to its weight, of
-what all that ask take together. While some wait, a tenant that has taken clearly more than that
-goes behind those that have not; it gets what they leave. Who asks for less than its share is served
-as if the other were not there, and while nobody waits, nothing is held back from anybody.
+A tenant's fair share is the slot time that all tenants used recently, divided in proportion to
+their weights. A tenant is over its share if its slot time exceeds the share by more than random
+variation. While requests wait, those of tenants over their share go after those of other tenants.
+Tenants within their share are thus not delayed by another tenant's burst, even if that burst is
+within its rate limit. While no requests wait, shares have no effect.
 
-The load this answers: one tenant that sends many times its usual for some seconds, within its
-limit, into a rise in which all slots are taken.
-
-A daemon counts what it started itself. Callers choose daemons by chance, so that each sees about
-the same mix; what a tenant takes at other daemons alone is not seen here.
+Each daemon counts only the requests that it started itself. Callers choose daemons at random, so
+that every daemon sees about the same mix of tenants; use concentrated on other daemons is not
+counted here.
 """
 
 from __future__ import annotations
@@ -19,85 +18,90 @@
 
 from mountstand.limits.window import SlidingSum
 
-WINDOW_S = 5.0
-"""Slot time counts for so long: longer than a rise of traffic takes to show who asks for more, and
-short enough that a tenant back at its usual is soon served as the others."""
+USAGE_WINDOW_S = 5.0
+"""Length of the sliding window over which slot time counts: long enough to identify the tenants
+that cause a burst, short enough that a tenant is soon served normally again after its burst."""
 
-DEVIATIONS = 3.0
-"""A tenant has taken clearly more than its share by so many standard deviations of independent
-arrivals: one in a thousand of the tenants at their usual rate seems so by chance."""
+OVERUSE_DEVIATIONS = 3.0
+"""Number of standard deviations of independent arrivals by which a tenant's slot time must exceed
+its share to count as over its share. About one in a thousand tenants that use exactly their share
+exceeds it by chance."""
 
-FREE_REQUESTS = 2
-"""A tenant is never behind for so many requests within a window, however small its share: one that
-sends a request now and then is at many times its share for a moment."""
+EXEMPT_REQUESTS = 2
+"""Number of requests per window that never put a tenant over its share. Without this, a tenant with
+occasional requests and a small share would briefly exceed it."""
 
-KEPT_S = 0.1
-"""Who has taken more than its share is worked out this often at most: it changes over seconds, and
-a look at 1,400 tenants takes some milliseconds."""
+RECOMPUTE_INTERVAL_S = 0.1
+"""Minimum interval between computations of the tenants over their share, which iterate over all
+recent tenants. The result changes over seconds, so it may be slightly out of date."""
 
 
 @dataclass(slots=True)
-class _Taken:
-    """What one tenant took lately; ``weight`` is ``None`` where it has none of its own."""
+class _TenantUsage:
+    """A tenant's use within the window; ``weight`` is ``None`` if none is configured for it."""
 
     weight: float | None
-    slot_s: SlidingSum = field(default_factory=lambda: SlidingSum(WINDOW_S))
-    requests: SlidingSum = field(default_factory=lambda: SlidingSum(WINDOW_S))
+    slot_time_s: SlidingSum = field(default_factory=lambda: SlidingSum(USAGE_WINDOW_S))
+    request_count: SlidingSum = field(default_factory=lambda: SlidingSum(USAGE_WINDOW_S))
 
-    def evict_expired(self, now_s: float) -> None:
-        """Let go what does not count any more."""
-        self.slot_s.evict_expired(now_s)
-        self.requests.evict_expired(now_s)
+    def expire(self, now_s: float) -> None:
+        """Drop use that is older than the window."""
+        self.slot_time_s.evict_expired(now_s)
+        self.request_count.evict_expired(now_s)
 
-    def is_clearly_over(self, share_s: float) -> bool:
-        """Return whether more was taken than a share in slot time, beyond what chance explains."""
-        if self.requests.total <= FREE_REQUESTS:
+    def is_over_share(self, share_s: float) -> bool:
+        """Return whether the slot time exceeds ``share_s`` by more than random variation."""
+        if self.request_count.total <= EXEMPT_REQUESTS:
             return False
-        usual_s = self.slot_s.total / self.requests.total
-        return self.slot_s.total > share_s + DEVIATIONS * math.sqrt(share_s * usual_s)
+        mean_s = self.slot_time_s.total / self.request_count.total
+        return self.slot_time_s.total > share_s + OVERUSE_DEVIATIONS * math.sqrt(share_s * mean_s)
 
 
 class FairShares:
-    """Slot time that tenants took at the workers of one service, in the last seconds."""
+    """Slot time that tenants used recently at the workers of one service."""
 
-    __slots__ = ("_by_tenant", "_known_at_s", "_over")
+    __slots__ = ("_computed_at_s", "_over_share", "_usage_by_tenant")
 
     def __init__(self) -> None:
-        self._by_tenant: dict[str, _Taken] = {}
-        self._over: frozenset[str] = frozenset()
-        self._known_at_s = float("-inf")
-
-    def note_begun(self, tenant: str, weight: float | None, slot_s: float, now_s: float) -> None:
-        """Count a request that begins, with the slot time that it usually takes."""
-        taken = self._by_tenant.get(tenant)
-        if taken is None:
-            taken = self._by_tenant[tenant] = _Taken(weight)
-        taken.weight = weight
-        taken.slot_s.add(slot_s, now_s)
-        taken.requests.add(1.0, now_s)
-
-    def over(self, now_s: float) -> frozenset[str]:
-        """Return the tenants that have taken clearly more than their share."""
-        if now_s - self._known_at_s >= KEPT_S:
-            self._known_at_s = now_s
-            self._over = self._work_out(now_s)
-        return self._over
-
-    def _work_out(self, now_s: float) -> frozenset[str]:
-        for tenant, taken in list(self._by_tenant.items()):
-            taken.evict_expired(now_s)
-            if not taken.requests.total:
-                del self._by_tenant[tenant]
-        told = [each.weight for each in self._by_tenant.values() if each.weight is not None]
-        usual = sum(told) / len(told) if told else 1.0
+        self._usage_by_tenant: dict[str, _TenantUsage] = {}
+        self._over_share: frozenset[str] = frozenset()
+        self._computed_at_s = float("-inf")
+
+    def record_start(
+        self, tenant: str, weight: float | None, slot_time_s: float, now_s: float
+    ) -> None:
+        """Count a request that starts, charged with ``slot_time_s`` in advance."""
+        usage = self._usage_by_tenant.get(tenant)
+        if usage is None:
+            usage = self._usage_by_tenant[tenant] = _TenantUsage(weight)
+        usage.weight = weight
+        usage.slot_time_s.add(slot_time_s, now_s)
+        usage.request_count.add(1.0, now_s)
+
+    def tenants_over_share(self, now_s: float) -> frozenset[str]:
+        """Return the tenants that are over their fair share."""
+        if now_s - self._computed_at_s >= RECOMPUTE_INTERVAL_S:
+            self._computed_at_s = now_s
+            self._over_share = self._compute_over_share(now_s)
+        return self._over_share
+
+    def _compute_over_share(self, now_s: float) -> frozenset[str]:
+        for tenant, usage in list(self._usage_by_tenant.items()):
+            usage.expire(now_s)
+            if not usage.request_count.total:
+                del self._usage_by_tenant[tenant]
+        explicit_weights = [
+            each.weight for each in self._usage_by_tenant.values() if each.weight is not None
+        ]
+        default_weight = sum(explicit_weights) / len(explicit_weights) if explicit_weights else 1.0
         weights = {
-            tenant: usual if taken.weight is None else taken.weight
-            for tenant, taken in self._by_tenant.items()
+            tenant: default_weight if usage.weight is None else usage.weight
+            for tenant, usage in self._usage_by_tenant.items()
         }
-        whole = sum(weights.values())
-        total_s = sum(taken.slot_s.total for taken in self._by_tenant.values())
+        total_weight = sum(weights.values())
+        total_slot_time_s = sum(usage.slot_time_s.total for usage in self._usage_by_tenant.values())
         return frozenset(
             tenant
-            for tenant, taken in self._by_tenant.items()
-            if taken.is_clearly_over(total_s * weights[tenant] / whole)
+            for tenant, usage in self._usage_by_tenant.items()
+            if usage.is_over_share(total_slot_time_s * weights[tenant] / total_weight)
         )
--- a/mountstand/serving/prompt.py
+++ b/mountstand/serving/prompt.py
@@ -1,4 +1,4 @@
-"""The parts of a prompt, as far as the choice of a worker depends on them."""
+"""Prompt parts and their token counts, used to choose a worker."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class PromptPart:
-    """One part of a prompt, with its size in tokens."""
+    """One part of a prompt; equal ids mean equal content, also in other requests."""
 
     part_id: str
     tokens: int
@@ -15,23 +15,23 @@
 
 @dataclass(frozen=True)
 class Prompt:
-    """Parts in order; all but the last are shared among requests."""
+    """The parts of a prompt in order; all but the last may be shared with other requests."""
 
     parts: tuple[PromptPart, ...] = ()
 
     @property
     def shared(self) -> tuple[PromptPart, ...]:
-        """The parts that other requests may have too."""
+        """The parts that other requests may have in common with this one."""
         return self.parts[:-1]
 
     @property
     def shared_tokens(self) -> int:
-        """Tokens that need not be read again by a worker that has the shared parts."""
+        """Tokens that a worker with the shared parts in its cache need not process."""
         return sum(part.tokens for part in self.shared)
 
     @property
     def own_tokens(self) -> int:
-        """Tokens of the last part."""
+        """Tokens of the last part, which belongs to this request alone."""
         return self.parts[-1].tokens if self.parts else 0
 
     @property
@@ -41,10 +41,11 @@
 
     @property
     def affinity_key(self) -> str | None:
-        """What decides the home worker, or ``None`` where reuse would save little.
+        """The key that selects the workers which should have the shared parts in their cache.
 
-        Reading the shared parts again must cost more than reading the request's own part;
-        otherwise an even spread is worth more than reuse.
+        ``None`` if the worker does not matter: affinity pays off only if processing the shared
+        parts again would cost more than processing the request's own part. Otherwise an even load
+        matters more.
         """
         if not self.parts or self.shared_tokens <= self.own_tokens:
             return None
@@ -52,4 +53,4 @@
 
 
 EMPTY_PROMPT = Prompt()
-"""A request that names no parts."""
+"""The prompt of a request that declares no parts."""
--- a/mountstand/serving/slot_demand.py
+++ b/mountstand/serving/slot_demand.py
@@ -1,4 +1,4 @@
-"""How many requests or batch items wait for a slot, here and at all daemons, by service."""
+"""Count the online requests and batch items that wait for a slot, here and at peers."""
 
 from __future__ import annotations
 
@@ -8,35 +8,41 @@
 
 
 class WorkKind(Enum):
-    """What waits for a slot."""
+    """The kind of work that waits for a slot."""
 
     ONLINE = "online"
     BATCH = "batch"
 
 
-def service_key(service: str, work: WorkKind) -> int:
-    """Return the number that stands among daemons for one kind of work at a service."""
-    return zlib.crc32(f"{work.value}:{service}".encode())
+def service_key(service: str, kind: WorkKind) -> int:
+    """Return the number that identifies a service and kind of work in messages between daemons."""
+    return zlib.crc32(f"{kind.value}:{service}".encode())
 
 
 @dataclass(frozen=True, slots=True)
 class WaitingCounts:
-    """What waits: that which can still be in time, and the late."""
+    """Counts of requests or batch items that wait for a slot.
+
+    ``on_time`` can still meet their deadline, ``late`` cannot.
+    """
 
     on_time: int = 0
     late: int = 0
 
     @property
     def total(self) -> int:
-        """All that waits."""
+        """The number of on-time and late ones together."""
         return self.on_time + self.late
 
 
-NONE_WAITING = WaitingCounts()
+NOTHING_WAITING = WaitingCounts()
 
 
 class SlotDemand:
-    """What waits for a slot; what peers have waiting is told by their digests."""
+    """Waiting counts per service (or pool of its workers) for one kind of work.
+
+    Those of this daemon are set by its queue, those of its peers come from their load digests.
+    """
 
     __slots__ = ("own_by_service", "peers_by_service")
 
@@ -45,26 +51,26 @@
         self.peers_by_service: dict[str, WaitingCounts] = {}
 
     def own(self, service: str) -> WaitingCounts:
-        """Return what waits at this daemon."""
-        return self.own_by_service.get(service, NONE_WAITING)
+        """Return the counts of this daemon."""
+        return self.own_by_service.get(service, NOTHING_WAITING)
 
     def peers(self, service: str) -> WaitingCounts:
-        """Return what waits at the other daemons, as their digests told."""
-        return self.peers_by_service.get(service, NONE_WAITING)
+        """Return the counts of all other daemons together, as reported by their digests."""
+        return self.peers_by_service.get(service, NOTHING_WAITING)
 
-    def share_of(self, service: str, free_slots: float) -> float:
-        """Return how many of the free slots are for what waits at this daemon.
+    def own_share(self, service: str, free_slots: float) -> float:
+        """Return how many of the free slots this daemon may use for its own waiting work.
 
-        What can be in time goes first, wherever it waits; the late shares what is left.
+        On-time work of all daemons goes first; late work shares the remaining slots.
         """
         own = self.own(service)
         peers = self.peers(service)
         on_time = own.on_time + peers.on_time
-        left = max(0.0, free_slots - on_time)
-        return _part(own.on_time, on_time, free_slots) + _part(
-            own.late, own.late + peers.late, left
+        remaining_slots = max(0.0, free_slots - on_time)
+        return _proportional_share(own.on_time, on_time, free_slots) + _proportional_share(
+            own.late, own.late + peers.late, remaining_slots
         )
 
 
-def _part(own: int, total: int, slots: float) -> float:
+def _proportional_share(own: int, total: int, slots: float) -> float:
     return min(own, slots * own / total) if total else 0.0
--- a/mountstand/serving/slot_shares.py
+++ b/mountstand/serving/slot_shares.py
@@ -1,11 +1,11 @@
-"""Deals the slots of all workers out among the daemons that serve callers.
+"""Partition the slots of all workers among the daemons that serve callers.
 
-Daemons that all choose among all workers by a picture that is a digest old send to the same ones.
-A daemon knows exactly what it has at the slots that are its own, as long as the others ask before
-they use them (:mod:`mountstand.serving.slot_lending`).
+Daemons that all choose from the same outdated load snapshot send their requests to the same
+workers. Each daemon therefore owns some of the slots. It knows their state exactly, as other
+daemons ask before they use them (:mod:`mountstand.serving.slot_lending`).
 
-Daemons and workers stand in the same order of zones along a line of slots, and each daemon has an
-even stretch of it: mostly workers of its own zone, few enough that connections stay warm.
+Daemons and workers are both sorted by zone, and each daemon owns an equal, contiguous range of the
+slots. Most of its workers are thus in its own zone, and few enough that connections stay open.
 """
 
 from __future__ import annotations
@@ -16,30 +16,35 @@
 from mountstand.serving.worker import Worker
 
 SlotsByOwner = dict[str, int]
-"""Slots of one worker by the daemons that they are dealt to."""
+"""Number of slots of one worker, by the id of the daemon that owns them."""
 
 
 def partition_slots(daemons: Iterable[Peer], workers: Iterable[Worker]) -> dict[str, SlotsByOwner]:
-    """Return by worker how many of its slots are dealt to which daemons.
+    """Return the slots by owner of each worker, by worker id.
 
     ``daemons`` are those that serve callers, ``workers`` those of one service.
     """
-    names = [peer.member_id for peer in sorted(daemons, key=lambda p: (p.zone, p.member_id))]
-    if not names:
+    daemon_ids = [peer.member_id for peer in sorted(daemons, key=lambda p: (p.zone, p.member_id))]
+    if not daemon_ids:
         return {}
-    line = sorted(workers, key=lambda worker: (worker.record.zone, worker.record.worker_id))
-    slots = sum(worker.slots() for worker in line)
-    ends = [round(slots * (position + 1) / len(names)) for position in range(len(names))]
-    dealt: dict[str, SlotsByOwner] = {}
-    position = begin = 0
-    for worker in line:
-        end = begin + worker.slots()
-        by_owner = dealt[worker.record.worker_id] = {}
-        while begin < end:
-            taken = min(end, ends[position]) - begin
-            if taken > 0:
-                by_owner[names[position]] = taken
-                begin += taken
-            if begin >= ends[position] and position < len(names) - 1:
-                position += 1
-    return dealt
+    ordered_workers = sorted(
+        workers, key=lambda worker: (worker.record.zone, worker.record.worker_id)
+    )
+    total_slots = sum(worker.slots() for worker in ordered_workers)
+    range_ends = [
+        round(total_slots * (daemon_index + 1) / len(daemon_ids))
+        for daemon_index in range(len(daemon_ids))
+    ]
+    slots_by_owner_by_worker: dict[str, SlotsByOwner] = {}
+    daemon_index = offset = 0
+    for worker in ordered_workers:
+        worker_end = offset + worker.slots()
+        slots_by_owner = slots_by_owner_by_worker[worker.record.worker_id] = {}
+        while offset < worker_end:
+            count = min(worker_end, range_ends[daemon_index]) - offset
+            if count > 0:
+                slots_by_owner[daemon_ids[daemon_index]] = count
+                offset += count
+            if offset >= range_ends[daemon_index] and daemon_index < len(daemon_ids) - 1:
+                daemon_index += 1
+    return slots_by_owner_by_worker
--- a/tests/serving/test_slot_shares.py
+++ b/tests/serving/test_slot_shares.py
@@ -1,4 +1,4 @@
-"""Slots are dealt out whole, evenly, mostly within zones, and taken before those of others."""
+"""Slots are partitioned evenly and mostly within zones, and own slots are used first."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def workers(count: int, slots: int = 6) -> list[Worker]:
-    """Return workers spread over the zones."""
+    """Return workers spread evenly over the zones."""
     return [
         Worker(
             WorkerRecord(f"w{n:02d}", "llm", "127.0.0.1", 9000 + n, ZONES[n % 3], slots, False, 1)
@@ -30,43 +30,49 @@
     ]
 
 
-class Dealing(TestCase):
-    def test_every_slot_is_dealt_once_and_evenly(self) -> None:
+class SlotPartitionTest(TestCase):
+    def test_every_slot_has_one_owner_and_shares_are_equal(self) -> None:
         for count in (1, 2, 6, 45, 46):
             with self.subTest(workers=count):
                 fleet = workers(count)
-                dealt = partition_slots(DAEMONS, fleet)
-                self.assertEqual({w.record.worker_id for w in fleet}, set(dealt))
-                self.assertEqual({6}, {sum(by_owner.values()) for by_owner in dealt.values()})
+                slots_by_owner_by_worker = partition_slots(DAEMONS, fleet)
+                self.assertEqual({w.record.worker_id for w in fleet}, set(slots_by_owner_by_worker))
+                self.assertEqual(
+                    {6},
+                    {
+                        sum(slots_by_owner.values())
+                        for slots_by_owner in slots_by_owner_by_worker.values()
+                    },
+                )
                 totals = Counter({peer.member_id: 0 for peer in DAEMONS})
-                for by_owner in dealt.values():
-                    totals.update(by_owner)
+                for slots_by_owner in slots_by_owner_by_worker.values():
+                    totals.update(slots_by_owner)
                 self.assertLessEqual(max(totals.values()) - min(totals.values()), 1)
 
-    def test_most_slots_are_in_the_daemons_own_zone(self) -> None:
+    def test_most_slots_are_in_their_owners_zone(self) -> None:
         fleet = workers(45)
         zone_by_id = {w.record.worker_id: w.record.zone for w in fleet}
         zone_by_daemon = {peer.member_id: peer.zone for peer in DAEMONS}
-        near = sum(
+        same_zone_slots = sum(
             slots
-            for worker_id, by_owner in partition_slots(DAEMONS, fleet).items()
-            for owner, slots in by_owner.items()
+            for worker_id, slots_by_owner in partition_slots(DAEMONS, fleet).items()
+            for owner, slots in slots_by_owner.items()
             if zone_by_id[worker_id] == zone_by_daemon[owner]
         )
-        self.assertGreater(near, 0.8 * 45 * 6)
+        self.assertGreater(same_zone_slots, 0.8 * 45 * 6)
 
-    def test_the_order_of_the_lists_does_not_matter(self) -> None:
+    def test_partition_does_not_depend_on_input_order(self) -> None:
         fleet = workers(45)
         self.assertEqual(
             partition_slots(DAEMONS, fleet), partition_slots(DAEMONS[::-1], fleet[::-1])
         )
 
-    def test_nothing_is_dealt_where_nobody_serves_or_nothing_is_there(self) -> None:
+    def test_partition_is_empty_without_daemons_or_workers(self) -> None:
         self.assertEqual({}, partition_slots([], workers(6)))
         self.assertEqual({}, partition_slots(DAEMONS, []))
 
 
-class Choice(TestCase):
+class OwnSlotChoiceTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.directory = WorkerDirectory("zone-a", random.Random(3))
@@ -75,7 +81,7 @@
         link = RecordingLink(Peer("own", "zone-a"), Peer("peer", "zone-a"))
         self.sharing = LoadSharing(self.directory, Peer("own", "zone-a"), link)
         self.sharing.tick(1.0)
-        self.mine = set(self.directory.chooser.own_slots)
+        self.own_workers = set(self.directory.chooser.own_slots)
 
     def choose(self, prompt: Prompt = EMPTY_PROMPT) -> str:
         worker = self.directory.choose("llm", prompt, set(), 1.0)
@@ -83,30 +89,30 @@
         worker.in_flight += 1
         return worker.record.worker_id
 
-    def test_own_slots_are_taken_first_and_evenly(self) -> None:
-        self.assertEqual(4, len(self.mine))
+    def test_own_slots_are_used_first_and_evenly(self) -> None:
+        self.assertEqual(4, len(self.own_workers))
         chosen = [self.choose() for _ in range(16)]
-        self.assertEqual({worker_id: 4 for worker_id in self.mine}, dict(Counter(chosen)))
-        self.assertNotIn(self.choose(), self.mine)
+        self.assertEqual({worker_id: 4 for worker_id in self.own_workers}, dict(Counter(chosen)))
+        self.assertNotIn(self.choose(), self.own_workers)
 
-    def test_slots_that_others_took_are_not_free(self) -> None:
-        taken = next(iter(self.mine))
+    def test_own_slots_used_by_peers_are_not_free(self) -> None:
+        taken = next(iter(self.own_workers))
         self.directory.workers[taken].peer_online = 4
         self.assertNotIn(taken, {self.choose() for _ in range(12)})
 
-    def test_a_worker_with_much_to_read_is_passed_over(self) -> None:
-        for worker_id in self.mine:
+    def test_worker_with_many_pending_prompt_tokens_is_avoided(self) -> None:
+        for worker_id in self.own_workers:
             self.directory.workers[worker_id].own_prefill_tokens = 100_000
-        self.assertNotIn(self.choose(Prompt((PromptPart("p", 100),))), self.mine)
+        self.assertNotIn(self.choose(Prompt((PromptPart("p", 100),))), self.own_workers)
 
-    def test_workers_that_left_or_came_are_dealt_anew(self) -> None:
-        gone = next(iter(self.mine))
-        self.directory.remove(gone, 9, 1.0)
+    def test_slots_are_repartitioned_when_worker_leaves(self) -> None:
+        removed_id = next(iter(self.own_workers))
+        self.directory.remove(removed_id, 9, 1.0)
         self.sharing.tick(1.1)
-        self.assertNotIn(gone, self.directory.chooser.own_slots)
+        self.assertNotIn(removed_id, self.directory.chooser.own_slots)
         self.assertEqual(14, sum(self.directory.chooser.own_slots.values()))
 
-    def test_batch_items_take_own_slots_first_too(self) -> None:
+    def test_batch_items_use_own_slots_first(self) -> None:
         worker = self.directory.choose_below_utilization("llm", 1.0, 1.0)
         assert worker is not None
-        self.assertIn(worker.record.worker_id, self.mine)
+        self.assertIn(worker.record.worker_id, self.own_workers)
--- a/tests/serving/test_spread.py
+++ b/tests/serving/test_spread.py
@@ -1,4 +1,4 @@
-"""Requests that many daemons spread by one old picture of the workers' load."""
+"""Many daemons spread requests by the same stale load snapshot."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from mountstand.serving.spread import (
     DurationAverages,
     deficits_below,
-    round_by_chance,
+    stochastic_round,
     utilization_after,
 )
 from mountstand.serving.workers import WorkerDirectory
@@ -22,37 +22,39 @@
 from tests.stand_ins.digest_link import RecordingLink
 
 
-class Levels(TestCase):
+class SpreadTest(TestCase):
     CASES = (
-        ("nothing arrives", [(0.5, 10), (0.2, 10)], 0.0, 0.2),
-        ("the emptiest is filled", [(0.5, 10), (0.2, 10)], 2.0, 0.4),
-        ("both are filled", [(0.5, 10), (0.2, 10)], 5.0, 0.6),
-        ("larger ones take more", [(0.0, 30), (0.0, 10)], 8.0, 0.2),
-        ("one alone", [(1.5, 4)], 2.0, 2.0),
+        ("no arrivals", [(0.5, 10), (0.2, 10)], 0.0, 0.2),
+        ("least loaded worker is filled", [(0.5, 10), (0.2, 10)], 2.0, 0.4),
+        ("both workers are filled", [(0.5, 10), (0.2, 10)], 5.0, 0.6),
+        ("workers with more slots take more", [(0.0, 30), (0.0, 10)], 8.0, 0.2),
+        ("single worker", [(1.5, 4)], 2.0, 2.0),
     )
 
-    def test_level(self) -> None:
-        for name, fills, arrivals, expected in self.CASES:
+    def test_utilization_after_arrivals(self) -> None:
+        for name, utilizations, arrivals, expected in self.CASES:
             with self.subTest(name):
-                level = utilization_after(fills, arrivals)
+                level = utilization_after(utilizations, arrivals)
                 self.assertAlmostEqual(expected, level)
-                self.assertAlmostEqual(arrivals, sum(deficits_below(fills, level)))
+                self.assertAlmostEqual(arrivals, sum(deficits_below(utilizations, level)))
 
-    def test_rounding_by_chance_keeps_the_mean(self) -> None:
-        source = random.Random(5)
-        rounded = [round_by_chance(2.25, source) for _ in range(4000)]
+    def test_stochastic_round_keeps_the_mean(self) -> None:
+        rng = random.Random(5)
+        rounded = [stochastic_round(2.25, rng) for _ in range(4000)]
         self.assertEqual({2, 3}, set(rounded))
         self.assertTrue(2.2 < sum(rounded) / 4000 < 2.3)
 
-    def test_arrivals_follow_from_what_runs_and_how_long_it_takes(self) -> None:
+    def test_expected_arrivals_follow_littles_law(self) -> None:
         durations = DurationAverages()
-        self.assertEqual(0.0, durations.arrivals("llm", 90, 0.3), "nothing is known yet")
+        self.assertEqual(
+            0.0, durations.estimated_recent_starts("llm", 90, 0.3), "no duration is known yet"
+        )
         durations.observe("llm", 0.9)
-        self.assertAlmostEqual(30.0, durations.arrivals("llm", 90, 0.3))
+        self.assertAlmostEqual(30.0, durations.estimated_recent_starts("llm", 90, 0.3))
 
 
-class OldPicture(TestCase):
-    """Ninety daemons choose by the same picture; word of a choice arrives after all have chosen."""
+class StaleLoadSnapshotTest(TestCase):
+    """Ninety daemons choose by the same snapshot, before any learns of the others' choices."""
 
     WORKERS = 36
     DAEMONS = 90
@@ -66,17 +68,17 @@
             directory.workers[f"w{i}"].peer_online = 5 + i % 6
         return directory
 
-    def test_no_worker_is_overrun(self) -> None:
+    def test_requests_spread_evenly_by_stale_snapshot(self) -> None:
         load_by_id = Counter({f"w{i}": 5 + i % 6 for i in range(self.WORKERS)})
         for seed in range(self.DAEMONS):
             worker = self.directory(seed).choose("llm", EMPTY_PROMPT, set(), 0.0)
             assert worker is not None
             load_by_id[worker.record.worker_id] += 1
-        even = sum(load_by_id.values()) / self.WORKERS
-        self.assertLessEqual(max(load_by_id.values()), even + 6, load_by_id)
-        self.assertGreaterEqual(min(load_by_id.values()), even - 5, load_by_id)
+        mean_load = sum(load_by_id.values()) / self.WORKERS
+        self.assertLessEqual(max(load_by_id.values()), mean_load + 6, load_by_id)
+        self.assertGreaterEqual(min(load_by_id.values()), mean_load - 5, load_by_id)
 
-    def test_a_fresh_picture_sends_to_the_least_loaded(self) -> None:
+    def test_fresh_snapshot_selects_least_loaded_workers(self) -> None:
         chosen: list[int] = []
         for seed in range(self.DAEMONS):
             directory = self.directory(seed)
@@ -85,9 +87,9 @@
             assert worker is not None
             chosen.append(worker.peer_online)
         mean = sum(chosen) / len(chosen)
-        self.assertLess(mean, 6.1, "the least of four of 5 to 10 is 5.8 on average")
+        self.assertLess(mean, 6.1, "the minimum of four samples from 5 to 10 averages 5.8")
 
-    def test_batch_items_spread_by_the_room_that_is_left(self) -> None:
+    def test_batch_items_spread_over_workers_with_free_slots(self) -> None:
         granted: Counter[str] = Counter()
         for seed in range(self.DAEMONS):
             worker = self.directory(seed).choose_below_utilization("llm", 0.9, 0.0)
@@ -97,8 +99,8 @@
         self.assertLessEqual(max(granted.values()), 14, granted)
 
 
-class Demand(TestCase):
-    def test_waiting_items_are_told(self) -> None:
+class SlotDemandTest(TestCase):
+    def test_waiting_counts_are_exchanged_in_digests(self) -> None:
         own, peer = Peer("own", "zone-a"), Peer("peer", "zone-a")
         directory = WorkerDirectory("zone-a", random.Random(1))
         directory.put(worker_record(0), 0.0)
@@ -112,22 +114,24 @@
         sharing.handle("peer", digest, 0.0)
         self.assertEqual(WaitingCounts(4, 2), demand.peers_by_service["llm"])
         sharing.tick(100.0)
-        self.assertEqual(WaitingCounts(), demand.peers_by_service["llm"], "a silent peer has none")
+        self.assertEqual(
+            WaitingCounts(), demand.peers_by_service["llm"], "counts of an unresponsive peer expire"
+        )
 
     CASES = (
-        ("nobody waits", WaitingCounts(), WaitingCounts(), 10.0, 0.0),
-        ("alone", WaitingCounts(20), WaitingCounts(), 10.0, 10.0),
-        ("no more than wait", WaitingCounts(3), WaitingCounts(), 10.0, 3.0),
-        ("by the items that can be in time", WaitingCounts(20), WaitingCounts(60), 10.0, 2.5),
-        ("late ones get what is left", WaitingCounts(0, 4), WaitingCounts(6, 4), 10.0, 2.0),
-        ("late ones get nothing", WaitingCounts(0, 4), WaitingCounts(12), 10.0, 0.0),
-        ("first those in time, then late ones", WaitingCounts(2, 9), WaitingCounts(), 10.0, 10.0),
+        ("nothing waits", WaitingCounts(), WaitingCounts(), 10.0, 0.0),
+        ("no waiting work at peers", WaitingCounts(20), WaitingCounts(), 10.0, 10.0),
+        ("no more slots than waiting work", WaitingCounts(3), WaitingCounts(), 10.0, 3.0),
+        ("proportional to on-time work", WaitingCounts(20), WaitingCounts(60), 10.0, 2.5),
+        ("late work gets the remaining slots", WaitingCounts(0, 4), WaitingCounts(6, 4), 10.0, 2.0),
+        ("no slots remain for late work", WaitingCounts(0, 4), WaitingCounts(12), 10.0, 0.0),
+        ("on-time work before late work", WaitingCounts(2, 9), WaitingCounts(), 10.0, 10.0),
     )
 
-    def test_share_of_the_free_slots(self) -> None:
+    def test_own_share_of_free_slots(self) -> None:
         for name, own, peers, free_slots, expected in self.CASES:
             with self.subTest(name):
                 demand = SlotDemand()
                 demand.own_by_service["llm"] = own
                 demand.peers_by_service["llm"] = peers
-                self.assertAlmostEqual(expected, demand.share_of("llm", free_slots))
+                self.assertAlmostEqual(expected, demand.own_share("llm", free_slots))
