--- a/mountstand/serving/cold_workers.py
+++ b/mountstand/serving/cold_workers.py
@@ -1,13 +1,14 @@
-"""How many requests a cold worker may be sent, by all daemons together.
+"""Fleet-wide rate limit for requests to workers during their cold start.
 
-A worker that has just started, or whose machine has, bears only some requests a second, and falls
-over at well above that. So the daemons that serve callers share the bound out in whole requests
-(:mod:`mountstand.limits.dealt`), and each counts what it sends within any second. No message
-passes, so nothing that is cut, lost or dead can raise the sum.
+Shortly after a start of the worker or of its machine, a worker handles only a limited request rate
+and fails well above it. The daemons that serve callers divide this limit among themselves in whole
+requests (:mod:`mountstand.limits.dealt`), and each enforces its own share over a sliding window.
+They exchange no messages for this, so partitions, lost messages and dead daemons cannot cause the
+sum to exceed the limit.
 
-A daemon sends nothing to cold workers while it does not know which daemons serve: for a window
-after its start, since the process before it may just have used its part, and while its picture of
-the fleet is too old. Cold workers take what they bear from all others meanwhile.
+A daemon sends nothing to cold workers while its view of the fleet may be wrong: shortly after its
+start, as its previous process may just have used its share, and while its view of the fleet is
+stale. The other daemons keep using their shares meanwhile.
 """
 
 from __future__ import annotations
@@ -20,20 +21,20 @@
 from mountstand.limits.window import SlidingSum
 
 WINDOW_S = 1.0
-"""What cold workers bear is told by the second."""
+"""Length of the sliding window; limits are in requests per second."""
 
-START_S = WINDOW_S + 0.5
-"""For so long after a start nothing is sent to cold workers: what the process before sent counts
-for a window, and other daemons take in a change of the fleet within the rest."""
+STARTUP_HOLD_S = WINDOW_S + 0.5
+"""Time after its start for which a daemon sends nothing to cold workers. It covers one window for
+the requests of its previous process, and the time until other daemons see the fleet change."""
 
-SPARE_SHARE = 0.5
-"""Share of what may exceed the bound that is shared out too. The rest is for daemons whose views of
-the fleet differ for a moment."""
+SHARED_EXCESS_FRACTION = 0.5
+"""Fraction of the tolerated excess that is shared among daemons too. The rest covers daemons whose
+views of the fleet differ temporarily."""
 
 
 @dataclass(frozen=True, slots=True)
 class ColdStartLimit:
-    """What the workers of a service bear after a start."""
+    """Length of a cold start and the request rate that a worker handles during it."""
 
     duration_s: float
     requests_per_s: float
@@ -41,26 +42,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdStartTolerance:
-    """How exactly the bound of cold workers must be kept.
+    """Tolerated excess over a cold-start limit.
 
-    A second may hold ``requests_per_s x factor + slack`` requests.
+    Up to ``requests_per_s * factor + slack`` requests may be sent within any second.
     """
 
     factor: float = 1.0
     slack: float = 0.0
 
-    def shared_out(self, cold: ColdStartLimit) -> int:
-        """Return how many requests of a second all daemons share out."""
-        bound = cold.requests_per_s
-        beyond = bound * self.factor + self.slack - bound
-        return int(bound + max(0.0, beyond) * SPARE_SHARE)
+    def shared_requests(self, limit: ColdStartLimit) -> int:
+        """Return how many requests per window all daemons share."""
+        rate = limit.requests_per_s
+        excess = rate * self.factor + self.slack - rate
+        return int(rate + max(0.0, excess) * SHARED_EXCESS_FRACTION)
 
 
 class ColdStartShares:
-    """Which part of what cold workers bear is this daemon's.
+    """Computes this daemon's shares of the cold-start limits of workers.
 
-    ``began_s`` is when the process started; ``has_recent_fleet_view`` returns whether its picture of the
-    daemons is fresh.
+    ``began_s`` is the start time of this process; ``has_recent_fleet_view`` returns whether
+    its view of the daemons that serve is recent enough.
     """
 
     def __init__(
@@ -73,56 +74,56 @@
         self._limit_sharing = limit_sharing
         self.tolerance = tolerance
         self._began_s = began_s
-        self._knows_fleet = has_recent_fleet_view
-        self._dealt: dict[tuple[str, int], int] = {}
-        self._dealt_among: tuple[str, ...] = ()
+        self._has_recent_fleet_view = has_recent_fleet_view
+        self._share_by_key: dict[tuple[str, int], int] = {}
+        self._cached_sharers: tuple[str, ...] = ()
 
-    def part(self, worker_id: str, cold: ColdStartLimit, now_s: float) -> int:
-        """Return how many requests this daemon may send a cold worker within a second."""
-        if now_s - self._began_s < START_S or not self._knows_fleet():
+    def share(self, worker_id: str, limit: ColdStartLimit, now_s: float) -> int:
+        """Return how many requests per window this daemon may send to a cold worker."""
+        if now_s - self._began_s < STARTUP_HOLD_S or not self._has_recent_fleet_view():
             return 0
         sharers = self._limit_sharing.sharers
-        if self._dealt_among is not sharers:
-            self._dealt_among = sharers
-            self._dealt.clear()
-        units = self.tolerance.shared_out(cold)
-        dealt = self._dealt.get((worker_id, units))
-        if dealt is None:
-            dealt = allocated_units(units, worker_id, self._limit_sharing.own_name, sharers)
-            self._dealt[worker_id, units] = dealt
-        return dealt
+        if self._cached_sharers is not sharers:
+            self._cached_sharers = sharers
+            self._share_by_key.clear()
+        units = self.tolerance.shared_requests(limit)
+        share = self._share_by_key.get((worker_id, units))
+        if share is None:
+            share = allocated_units(units, worker_id, self._limit_sharing.own_name, sharers)
+            self._share_by_key[worker_id, units] = share
+        return share
 
 
-class ColdBudget:
-    """What this daemon may send to one worker while that is cold."""
+class ColdStartBudget:
+    """Limits what this daemon sends to one worker during its cold start."""
 
-    __slots__ = ("_sends", "_used", "_worker_id", "cold", "cold_until_s")
+    __slots__ = ("_shares", "_window", "_worker_id", "cold_until_s", "limit")
 
-    def __init__(self, worker_id: str, cold: ColdStartLimit, sends: ColdStartShares) -> None:
+    def __init__(self, worker_id: str, limit: ColdStartLimit, shares: ColdStartShares) -> None:
         self._worker_id = worker_id
-        self._sends = sends
-        self._used = SlidingSum(WINDOW_S)
-        self.cold = cold
+        self._shares = shares
+        self._window = SlidingSum(WINDOW_S)
+        self.limit = limit
         self.cold_until_s = float("-inf")
-        """Until when the worker is cold, as far as is known."""
+        """Known end of the cold-start period."""
 
-    def note_cold(self, cold_until_s: float) -> None:
-        """Note that the worker is cold until a certain time; word of an earlier end is older."""
+    def extend_cold_period(self, cold_until_s: float) -> None:
+        """Treat the worker as cold until ``cold_until_s``, unless a later end is already known."""
         self.cold_until_s = max(self.cold_until_s, cold_until_s)
 
-    def allows(self, now_s: float) -> bool:
-        """Return whether a request may be sent to the worker now."""
+    def has_capacity(self, now_s: float) -> bool:
+        """Return whether a request may be sent now. Warm workers have no limit."""
         if now_s >= self.cold_until_s:
             return True
-        self._used.evict_expired(now_s)
-        return self._used.total + 1 <= self._sends.part(self._worker_id, self.cold, now_s)
+        self._window.evict_expired(now_s)
+        return self._window.total + 1 <= self._shares.share(self._worker_id, self.limit, now_s)
 
-    def take(self, now_s: float) -> bool:
-        """Count a request that is sent now; returns whether it may be.
+    def try_acquire(self, now_s: float) -> bool:
+        """Count a request if it may be sent now; return whether it may.
 
-        Requests to a warm worker count too: it may turn out to have been cold already.
+        Requests to a warm worker are counted too, as it may turn out to have been cold already.
         """
-        allowed = self.allows(now_s)
+        allowed = self.has_capacity(now_s)
         if allowed:
-            self._used.add(1.0, now_s)
+            self._window.add(1.0, now_s)
         return allowed
--- a/mountstand/serving/idle_limit.py
+++ b/mountstand/serving/idle_limit.py
@@ -1,40 +1,40 @@
-"""How long pooled connections to workers may rest before they are no longer trusted.
+"""Adaptive limit on the idle time up to which pooled connections to workers are reused.
 
-Workers tell how long they keep an idle connection, but one may forget it sooner and say nothing;
-the next request on it meets a reset. Such a reset comes as fast as a connection would be accepted.
-After one, only connections that rested for less than half as long are used, and the limit rises
-again with time.
+Workers announce a keep-alive timeout, but one may drop an idle connection earlier without closing
+it, so that the next request on it is reset. Such a reset arrives about as fast as a connect is
+accepted, which tells it from a failure of a running request. After one, the limit falls to half the
+idle time of that connection, and then rises again with time.
 """
 
 from __future__ import annotations
 
-REST_SHARE = 0.5
-DOUBLING_S = 20.0
-"""The limit doubles in this time without another such reset."""
+RESET_LIMIT_FACTOR = 0.5
+DOUBLING_TIME_S = 20.0
+"""Time in which the limit doubles without another reset."""
 
-MOST_DOUBLINGS = 20.0
-"""By then the limit has risen a million times; the clock may be at any number of seconds."""
+MAX_DOUBLINGS = 20.0
+"""Bounds the exponent to avoid overflow; by then the limit has grown a millionfold."""
 
-SHORTEST_REST_S = 0.05
-"""A connection used again this soon is trusted always: it rested for about one round trip."""
+MIN_IDLE_LIMIT_S = 0.05
+"""Lower bound of the limit; an idle time of about one round trip is always safe."""
 
 
 class IdleLimit:
-    """The longest rest that is trusted, in seconds."""
+    """Longest idle time up to which a connection is reused; infinite before the first reset."""
 
-    __slots__ = ("_limit_s", "_noted_at_s")
+    __slots__ = ("_limit_s", "_reset_at_s")
 
     def __init__(self) -> None:
         self._limit_s = float("inf")
-        self._noted_at_s = 0.0
+        self._reset_at_s = 0.0
 
     def value_s(self, now_s: float) -> float:
-        """Return the longest rest that is trusted now."""
-        doublings = min(MOST_DOUBLINGS, (now_s - self._noted_at_s) / DOUBLING_S)
+        """Return the limit at ``now_s`` in seconds."""
+        doublings = min(MAX_DOUBLINGS, (now_s - self._reset_at_s) / DOUBLING_TIME_S)
         return self._limit_s * 2**doublings
 
-    def note_reset(self, rested_s: float, now_s: float) -> None:
-        """Take note of a connection that was forgotten after ``rested_s``."""
-        limit_s = max(SHORTEST_REST_S, rested_s * REST_SHARE)
+    def note_reset(self, idle_s: float, now_s: float) -> None:
+        """Lower the limit after a reset of a connection that had been idle for ``idle_s``."""
+        limit_s = max(MIN_IDLE_LIMIT_S, idle_s * RESET_LIMIT_FACTOR)
         self._limit_s = min(self.value_s(now_s), limit_s)
-        self._noted_at_s = now_s
+        self._reset_at_s = now_s
--- a/mountstand/serving/worker.py
+++ b/mountstand/serving/worker.py
@@ -1,4 +1,4 @@
-"""One worker as this daemon knows it: the platform's word, load, and own observations."""
+"""State that this daemon keeps per worker: platform record, load, reachability and health."""
 
 from __future__ import annotations
 
@@ -7,40 +7,40 @@
 from dataclasses import dataclass, field
 from functools import cached_property
 
-from mountstand.serving.cold_workers import ColdBudget
+from mountstand.serving.cold_workers import ColdStartBudget
 from mountstand.serving.prompt import Prompt
 from mountstand.serving.worker_health import WorkerHealth, new_health
 
-LOAD_TRUST_S = 2.0
-"""A load report older than this says nothing: requests last about as long."""
+LOAD_REPORT_MAX_AGE_S = 2.0
+"""Older load reports are ignored; a request typically lasts about this long."""
 
-LEAST_SLOWDOWN = 0.5
-MOST_SLOWDOWN = 4.0
-"""Bounds of what a worker may say of its pace, so that a wrong word neither draws nor shuns more
-than a part of the work: machines that are shared were seen to take up to 2.5 times as long."""
+MIN_SLOWDOWN = 0.5
+MAX_SLOWDOWN = 4.0
+"""Bounds on the slowdown that a worker may report, so that a wrong value can neither attract nor
+repel all traffic. A shared machine may legitimately be 2.5 times slower than usual."""
 
-SLOWDOWN_LASTS_S = 0.5
-"""After this time a worker's word of its pace has faded to 1/e of what it says beyond the usual:
-neighbours on its machine come and go many times a second."""
+SLOWDOWN_TIME_CONSTANT_S = 0.5
+"""Time constant of the exponential decay of a reported slowdown towards the worker's average. Load
+from other tenants of its machine changes many times a second."""
 
-SLOWDOWN_WEIGHT = 0.05
-"""Weight of a new word in the usual slowdown of a worker."""
+SLOWDOWN_EWMA_WEIGHT = 0.05
+"""Weight of a new report in the moving average of a worker's slowdown."""
 
-UNREACHABLE_S = 1.0
-"""First pause after a connection that failed; doubled on each further failure."""
+CONNECT_BACKOFF_S = 1.0
+"""Backoff after the first failed connect; doubled on each consecutive failure."""
 
-LONGEST_UNREACHABLE_S = 4.0
+MAX_CONNECT_BACKOFF_S = 4.0
 
-PEER_DOUBT_S = 0.3
-"""A worker heard from more recently is reachable from here, whatever a peer says."""
+RECENT_CONTACT_S = 0.3
+"""A peer's report that a worker is unreachable is ignored after a more recent contact with it."""
 
-FULL_S = 0.1
-"""Pause after a worker refused because it was full."""
+OVERLOAD_BACKOFF_S = 0.1
+"""Backoff after a worker refused a request for lack of capacity, or stalled."""
 
 
 @dataclass(frozen=True)
 class WorkerRecord:
-    """A worker as the platform lists it; every start has an id of its own."""
+    """A worker as listed by the platform."""
 
     worker_id: str
     service: str
@@ -51,32 +51,37 @@
     draining: bool
     version: int
     started_at_ms: int = 0
-    """When its process started, in Unix milliseconds; 0 where that is not told. A worker may start
-    again under its former id and remembers nothing then."""
+    """Start time of the worker's process in Unix milliseconds, 0 if unknown. A worker may restart
+    under the same id; the new process has none of the old one's state."""
 
     cold_remaining_s: float = 0.0
-    """How much longer it bears little work, as of the time of the record."""
+    """Remaining length of the cold-start period when the record was written."""
 
 
 @dataclass(frozen=True)
 class LoadReport:
-    """Load that a worker told with an answer."""
+    """Load that a worker reported in a reply."""
 
     running: int
     waiting: int
     slots: int
     slowdown: float | None = None
-    """How long work takes on the worker's machine right now, as a multiple of the usual time."""
+    """Current processing time on the worker's machine as a multiple of the usual one."""
 
     @property
     def total(self) -> int:
-        """Requests that run or wait."""
+        """Running and queued requests."""
         return self.running + self.waiting
 
 
 @dataclass
 class Worker:
-    """One worker and what was observed of it."""
+    """A worker with its observed load, reachability and health.
+
+    ``in_flight`` counts this daemon's requests and ``batch_in_flight`` the batch items among them;
+    ``peer_online`` and ``peer_batch`` count the requests that other daemons reported. ``online``,
+    ``batch`` and ``total_in_flight`` are the totals over all daemons.
+    """
 
     record: WorkerRecord
     in_flight: int = 0
@@ -85,34 +90,35 @@
     peer_batch: int = 0
     own_prefill_tokens: int = 0
     peer_prefill_tokens: int = 0
-    """Tokens of prompts that this daemon and the others sent, and that are still to be read; at
-    most, since parts that the worker keeps need no reading."""
+    """Prompt tokens that this daemon and its peers have sent and the worker still has to prefill.
+    An upper bound: prefixes in the worker's cache need no prefill."""
 
     load: LoadReport | None = None
     load_at_s: float = float("-inf")
-    known_at_load: int = 0
-    usual_slowdown: float = 1.0
+    total_in_flight_at_load: int = 0
+    average_slowdown: float = 1.0
     backoff_until_s: float = 0.0
     connect_failures: int = 0
     last_contact_s: float = float("-inf")
+    """Last accepted connect or reply. A port forwarder accepts connects even for a dead worker."""
+
     last_data_s: float = float("-inf")
-    """When something that it sent itself last came, an event or any other part of an answer. It is
-    heard of besides when a connection is accepted, which a port forwarder does for a dead one.
-    An event of an online stream tells that it runs, but not that idle connections to it still work,
-    so these are trusted by ``last_contact_s`` alone."""
+    """When this daemon last received data from the worker itself: an event or another part of a
+    reply. Events of online streams update only this time: they prove that the worker runs, but not
+    that idle connections to it still work, so their reuse depends on ``last_contact_s`` alone."""
 
     last_connect_failure_s: float = float("-inf")
     leaving_since_s: float | None = None
     evacuated_since_s: float | None = None
-    cold: ColdBudget | None = None
-    """What may be sent here while the worker is cold; ``None`` where its service has no bound."""
+    cold_budget: ColdStartBudget | None = None
+    """Limits requests during a cold start; ``None`` if the service has no such limit."""
 
-    lent_until_s: list[float] = field(default_factory=list)
+    grant_expiries_s: list[float] = field(default_factory=list)
     health: WorkerHealth = field(default_factory=new_health)
 
     @cached_property
     def incarnation(self) -> str:
-        """The name of the worker's process: its id, and when it was born where that is told."""
+        """Identifier of the worker's process: its id and, if known, its start time."""
         record = self.record
         return (
             f"{record.worker_id}@{record.started_at_ms}"
@@ -122,159 +128,165 @@
 
     @cached_property
     def key(self) -> int:
-        """The number that stands for this worker's process among daemons."""
+        """Number that identifies the worker's process in messages between daemons."""
         return zlib.crc32(self.incarnation.encode())
 
     @property
     def withdrawn_since_s(self) -> float | None:
-        """Since when the worker gets no new work, as it leaves or its zone is evacuated."""
-        since_s = (self.leaving_since_s, self.evacuated_since_s)
-        return min((each for each in since_s if each is not None), default=None)
+        """Since when the worker gets no new work because it is leaving or its zone is evacuated."""
+        times_s = (self.leaving_since_s, self.evacuated_since_s)
+        return min((time_s for time_s in times_s if time_s is not None), default=None)
 
     @property
-    def known(self) -> int:
-        """What all daemons are known to have in flight here."""
+    def total_in_flight(self) -> int:
+        """Known in-flight requests of all daemons, online and batch."""
         return self.in_flight + self.peer_online + self.peer_batch
 
     @property
     def online(self) -> int:
-        """Online requests that all daemons are known to have in flight here."""
+        """Known in-flight online requests of all daemons."""
         return self.in_flight - self.batch_in_flight + self.peer_online
 
     @property
     def batch(self) -> int:
-        """Batch items that all daemons are known to have in flight here."""
+        """Known in-flight batch items of all daemons."""
         return self.batch_in_flight + self.peer_batch
 
     @property
-    def unread(self) -> int:
-        """Tokens of prompts that the worker has still to read, as far as is known."""
+    def pending_prefill_tokens(self) -> int:
+        """Known prompt tokens of all daemons that the worker still has to prefill."""
         return self.own_prefill_tokens + self.peer_prefill_tokens
 
     def note_load(self, load: LoadReport, now_s: float) -> None:
-        """Take a load report."""
+        """Record a load report and include its slowdown, if any, in the average."""
         self.load = load
         self.load_at_s = now_s
-        self.known_at_load = self.known
+        self.total_in_flight_at_load = self.total_in_flight
         if load.slowdown is not None:
-            self.usual_slowdown += SLOWDOWN_WEIGHT * (_bounded(load.slowdown) - self.usual_slowdown)
+            self.average_slowdown += SLOWDOWN_EWMA_WEIGHT * (
+                _clamped_slowdown(load.slowdown) - self.average_slowdown
+            )
 
     def slowdown(self, now_s: float) -> float:
-        """Return how long work takes here now, as a multiple of the usual time.
-
-        The last word fades to what this worker usually says.
-        """
+        """Return the estimated slowdown: the last report, decaying to the worker's average."""
         if self.load is None or self.load.slowdown is None:
-            return self.usual_slowdown
-        fresh = math.exp((self.load_at_s - now_s) / SLOWDOWN_LASTS_S)
-        return self.usual_slowdown + (_bounded(self.load.slowdown) - self.usual_slowdown) * fresh
-
-    def fill(self, now_s: float, more: int = 0) -> float:
-        """Return how much of the worker's slots is taken, with ``more`` requests besides.
+            return self.average_slowdown
+        weight = math.exp((self.load_at_s - now_s) / SLOWDOWN_TIME_CONSTANT_S)
+        return (
+            self.average_slowdown
+            + (_clamped_slowdown(self.load.slowdown) - self.average_slowdown) * weight
+        )
 
-        It is weighed by how long work takes there.
-        """
-        return (self.estimated_load(now_s) + more) / self.slots() * self.slowdown(now_s)
+    def weighted_utilization(self, now_s: float, extra_requests: int = 0) -> float:
+        """Return the share of slots in use, with ``extra_requests`` more, times the slowdown."""
+        return (self.estimated_load(now_s) + extra_requests) / self.slots() * self.slowdown(now_s)
 
     def note_connected(self, now_s: float) -> None:
-        """Note that a connection was accepted at the worker's address."""
+        """Record that a connection to the worker's address was accepted."""
         self.last_contact_s = now_s
         self.connect_failures = 0
 
     def note_reply(self, now_s: float) -> None:
-        """Note that the worker said something."""
+        """Record that the worker sent a reply or part of one."""
         self.note_connected(now_s)
         self.last_data_s = now_s
 
     def note_connect_failed(self, now_s: float) -> None:
-        """Avoid the worker for a while, longer each time."""
-        pause_s = min(LONGEST_UNREACHABLE_S, UNREACHABLE_S * 2**self.connect_failures)
+        """Avoid the worker, with exponential backoff over consecutive failures."""
+        backoff_s = min(MAX_CONNECT_BACKOFF_S, CONNECT_BACKOFF_S * 2**self.connect_failures)
         self.connect_failures += 1
         self.last_connect_failure_s = now_s
-        self._avoid_as_unreachable(now_s + pause_s)
+        self._back_off(now_s + backoff_s)
 
     def note_peer_reported_unreachable(self, now_s: float) -> None:
-        """Avoid the worker for a while on a peer's word, unless it was just heard from."""
-        if now_s - self.last_contact_s > PEER_DOUBT_S:
-            self._avoid_as_unreachable(max(self.backoff_until_s, now_s + UNREACHABLE_S))
+        """Avoid the worker on a peer's report, unless this daemon had contact with it recently."""
+        if now_s - self.last_contact_s > RECENT_CONTACT_S:
+            self._back_off(max(self.backoff_until_s, now_s + CONNECT_BACKOFF_S))
+
+    def _back_off(self, until_s: float) -> None:
+        """Avoid the worker until ``until_s``, which replaces any backoff in force.
 
-    def _avoid_as_unreachable(self, until_s: float) -> None:
-        """Avoid the worker for a while; it may have started again when it is back."""
+        It may have restarted by then, so it counts as cold from then on.
+        """
         self.backoff_until_s = until_s
         self.assume_restarted(until_s)
 
     def assume_restarted(self, at_s: float) -> None:
-        """Treat the worker as cold from ``at_s`` on: it may have started then without a word."""
-        if self.cold is not None:
-            self.cold.note_cold(at_s + self.cold.cold.duration_s)
+        """Treat the worker as cold from ``at_s`` on; restarts may go unreported."""
+        if self.cold_budget is not None:
+            self.cold_budget.extend_cold_period(at_s + self.cold_budget.limit.duration_s)
 
     def note_overloaded(self, now_s: float) -> None:
-        """Avoid the worker for a moment."""
-        self.extend_backoff(now_s + FULL_S)
+        """Avoid the worker for ``OVERLOAD_BACKOFF_S``."""
+        self.extend_backoff(now_s + OVERLOAD_BACKOFF_S)
 
     def extend_backoff(self, until_s: float) -> None:
-        """Send no new work to the worker until a time, at least."""
+        """Avoid the worker until ``until_s``, unless a longer backoff is in force."""
         self.backoff_until_s = max(self.backoff_until_s, until_s)
 
     def note_slot_granted(self, until_s: float) -> None:
-        """Count a slot as taken that another daemon is about to use."""
-        self.lent_until_s.append(until_s)
+        """Count a slot granted to another daemon as in use until ``until_s``."""
+        self.grant_expiries_s.append(until_s)
 
     def note_slot_returned(self) -> None:
-        """Count a lent slot as taken no more."""
-        if self.lent_until_s:
-            self.lent_until_s.pop()
-
-    def lent(self, now_s: float) -> int:
-        """Return how many slots were lent a moment ago."""
-        if self.lent_until_s:
-            self.lent_until_s = [until_s for until_s in self.lent_until_s if until_s > now_s]
-        return len(self.lent_until_s)
+        """Record that another daemon returned a granted slot unused."""
+        if self.grant_expiries_s:
+            self.grant_expiries_s.pop()
+
+    def granted_slots(self, now_s: float) -> int:
+        """Return how many slots are granted to other daemons, without expired grants."""
+        if self.grant_expiries_s:
+            self.grant_expiries_s = [
+                expiry_s for expiry_s in self.grant_expiries_s if expiry_s > now_s
+            ]
+        return len(self.grant_expiries_s)
 
     def has_free_slot(self, now_s: float) -> bool:
-        """Return whether one more request would start at once, as far as is known."""
+        """Return whether the estimated load leaves a slot for one more request."""
         return self.estimated_load(now_s) + 1 <= self.slots()
 
     def slots(self) -> int:
-        """Return how many requests run at once."""
+        """Return how many requests the worker runs concurrently, at least 1."""
         return max(1, self.record.slots)
 
     def is_available(self, now_s: float) -> bool:
-        """Return whether one more request may go to the worker as things usually are.
+        """Return whether the worker is eligible for one more request.
 
-        It stays, is reachable as far as is known, is not ejected, and bears it if it is cold.
+        It must not be withdrawn, in backoff, ejected or, during a cold start, at its limit. Its
+        load and free slots are not considered.
         """
         if self.leaving_since_s is not None or self.evacuated_since_s is not None:
             return False
         if self.backoff_until_s > now_s or self.health.is_ejected(now_s):
             return False
-        return self.bears_one(now_s)
+        return self.within_cold_limit(now_s)
 
-    def bears_one(self, now_s: float) -> bool:
-        """Return whether one more request may be sent, unless the worker is cold and had enough."""
-        return self.cold is None or self.cold.allows(now_s)
+    def within_cold_limit(self, now_s: float) -> bool:
+        """Return whether the cold-start limit, if any, allows one more request."""
+        return self.cold_budget is None or self.cold_budget.has_capacity(now_s)
 
     def admit_send(self, now_s: float) -> bool:
-        """Count a request that is sent now; returns whether it may be."""
-        return self.cold is None or self.cold.take(now_s)
+        """Return whether a request may be sent; if so, charge it to any cold-start budget."""
+        return self.cold_budget is None or self.cold_budget.try_acquire(now_s)
 
     def estimated_load(self, now_s: float) -> float:
-        """Estimate how many requests run or wait there.
+        """Estimate the number of running and queued requests.
 
-        A fresh report plus what became known since; without one, what is known.
+        This is the last load report plus the change in known in-flight requests since; without a
+        recent report, the known in-flight requests alone.
         """
-        if self.load is not None and now_s - self.load_at_s <= LOAD_TRUST_S:
-            change = self.known - self.known_at_load
+        if self.load is not None and now_s - self.load_at_s <= LOAD_REPORT_MAX_AGE_S:
+            change = self.total_in_flight - self.total_in_flight_at_load
             return max(float(self.in_flight), float(self.load.total + change))
-        return float(self.known)
+        return float(self.total_in_flight)
 
 
-def _bounded(slowdown: float) -> float:
-    return min(MOST_SLOWDOWN, max(LEAST_SLOWDOWN, slowdown))
+def _clamped_slowdown(slowdown: float) -> float:
+    return min(MAX_SLOWDOWN, max(MIN_SLOWDOWN, slowdown))
 
 
 class PendingPrefill:
-    """Counts a prompt's tokens at its worker as unread until the first event comes."""
+    """Counts a prompt's tokens as pending at its worker until the first event of the reply."""
 
     __slots__ = ("_tokens", "_worker")
 
@@ -284,6 +296,6 @@
         worker.own_prefill_tokens += self._tokens
 
     def end(self) -> None:
-        """Note that the prompt was read, or that the request ended before; repeats do nothing."""
+        """Stop counting, as prefill is done or the request has ended. Idempotent."""
         self._worker.own_prefill_tokens -= self._tokens
         self._tokens = 0
--- a/mountstand/serving/worker_ends.py
+++ b/mountstand/serving/worker_ends.py
@@ -1,8 +1,9 @@
-"""Finds out which workers ended while they ran requests.
+"""Detects workers that crashed while they ran requests.
 
-An exchange that breaks says little: a link may have failed, or the worker may have closed this
-connection alone. Whether its process is gone shows in a moment, as its machine refuses connections
-until the worker is back some seconds later. A worker that leaves as planned is expected to end.
+A broken exchange alone does not prove a crash: the link may have failed, or the worker may have
+closed just this connection. So the worker's address is probed: after a crash, its machine refuses
+connections for some seconds until the worker has restarted. Workers that are leaving are expected
+to exit and are not checked.
 """
 
 from __future__ import annotations
@@ -20,44 +21,48 @@
 from mountstand.transport.forwarders import TURNED_AWAY_PAUSE_S
 from mountstand.transport.http_client import ConnectFailed
 
-REFUSALS_NEEDED = 2
-"""Refused connects that tell an end: a worker with too many connections may refuse one as well."""
+MIN_REFUSALS = 2
+"""Refused connects that prove a crash. A live worker with too many connections may refuse one."""
 
-PAUSE_S = 0.1
-"""Time between checks. Workers need seconds to start again, so that none is taken for its
-successor."""
+PROBE_INTERVAL_S = 0.1
+"""Time between probes; much less than a restart takes, so a restarted worker cannot answer them."""
 
-AVOIDED_S = 2 * TURNED_AWAY_PAUSE_S
-"""For so long a worker that turned a check away gets no new work; further checks prolong it."""
+AVOID_AFTER_CLOSE_S = 2 * TURNED_AWAY_PAUSE_S
+"""How long a worker that closes a probe's connection at once is avoided; each such probe extends
+this."""
 
-MOST_CHECKS = 3
-"""A worker that neither accepts nor refuses twice in so many checks is behind a broken link, as far
-as is known."""
+MAX_PROBES = 3
+"""Maximum number of probes per check. If all of them are accepted and closed at once and the worker
+sends no data meanwhile, it counts as crashed; otherwise as alive, as the link may have failed."""
 
-LAST_WORDS_S = 0.1
-"""What a worker sent before it ended is read so much later at most, beside other requests."""
+BUFFERED_DATA_GRACE_S = 0.1
+"""Data that a worker sent before a crash may still be read for this long after the crash."""
 
-SETTLED_S = 0.25
-"""Longest wait for a check: two refusals take 0.1 s, and one that takes longer tells no end."""
+CHECK_WAIT_TIMEOUT_S = 0.25
+"""How long a caller waits for a check: enough for two refused probes. A longer check runs on,
+but the caller continues without its result."""
 
-KEYS_TOLD = 20
-"""Contents that a line names at most; engines run about as many requests at once."""
+MAX_LOGGED_CONTENTS = 20
+"""Maximum number of content keys in a log line, about as many as requests run at a worker."""
 
 
 class WorkerCrashObserver(ABC):
-    """Is told of workers that ended."""
+    """Is notified of worker crashes."""
 
     __slots__ = ()
 
     @abstractmethod
     def on_worker_crash(
-        self, worker: Worker, sent_at_s: Mapping[int, float], ended_at_s: float
+        self, worker: Worker, sent_at_s: Mapping[int, float], noticed_at_s: float
     ) -> None:
-        """Take when ``worker`` ended, and when each content was sent that broke there."""
+        """Handle a crash of ``worker``, noticed at ``noticed_at_s`` by the first broken exchange.
+
+        ``sent_at_s`` maps the content key of each broken request to the time it was sent.
+        """
 
 
 class WorkerCrashDetector:
-    """Checks workers at which exchanges broke, each once at a time."""
+    """Checks workers whose exchanges broke, with at most one running check per worker."""
 
     def __init__(
         self, connections: WorkerConnections, metrics: ServingMetrics, log: DecisionLog
@@ -70,7 +75,10 @@
         self.observers: list[WorkerCrashObserver] = []
 
     def note_broken(self, worker: Worker, call: Call, sent_at_s: float) -> None:
-        """Note that the exchange of ``call`` broke at ``worker`` after it was sent there."""
+        """Record that the exchange of ``call`` with ``worker`` broke; start a check if none runs.
+
+        Leaving workers are ignored.
+        """
         if worker.leaving_since_s is not None:
             return
         worker_id = worker.record.worker_id
@@ -80,19 +88,19 @@
             self._check_by_worker[worker_id] = asyncio.create_task(self._check(worker))
 
     async def wait_until_checked(self, worker: Worker) -> None:
-        """Wait until it is known whether a worker ended, if it is being checked, for a moment."""
+        """Wait for a running check of ``worker``, if any, up to ``CHECK_WAIT_TIMEOUT_S``."""
         check = self._check_by_worker.get(worker.record.worker_id)
         if check is not None:
-            await asyncio.wait([check], timeout=SETTLED_S)
+            await asyncio.wait([check], timeout=CHECK_WAIT_TIMEOUT_S)
 
     async def _check(self, worker: Worker) -> None:
         broke_at_s = asyncio.get_running_loop().time()
         try:
-            ended = await self._has_crashed(worker)
+            crashed = await self._has_crashed(worker)
         finally:
             sent_at_s = self._sent_at_s_by_worker.pop(worker.record.worker_id)
             del self._check_by_worker[worker.record.worker_id]
-        if not ended:
+        if not crashed:
             return
         worker.note_connect_failed(asyncio.get_running_loop().time())
         self._metrics.worker_ended()
@@ -100,54 +108,57 @@
             "worker_ended",
             worker=worker.record.worker_id,
             worker_version=worker.record.version,
-            contents=[content_name(key) for key in sorted(sent_at_s)[:KEYS_TOLD]],
+            contents=[content_name(key) for key in sorted(sent_at_s)[:MAX_LOGGED_CONTENTS]],
             broken=len(sent_at_s),
         )
         for observer in self.observers:
             observer.on_worker_crash(worker, sent_at_s, broke_at_s)
 
     async def _has_crashed(self, worker: Worker) -> bool:
-        """Return whether nothing listens at a worker's address, or nobody answers behind it.
+        """Return whether nothing listens at a worker's address, or only a port forwarder does.
 
-        A full worker turns connections away too, but is heard on those that it has.
+        A forwarder of a dead worker accepts connections and closes them at once. A full worker
+        does so too, but keeps sending data on its existing connections.
         """
         began_s = asyncio.get_running_loop().time()
-        refusals = turned_away = 0
-        for number in range(1, MOST_CHECKS + 1):
-            pause_s = PAUSE_S
+        refusals = closed_on_accept = 0
+        for probe in range(1, MAX_PROBES + 1):
+            pause_s = PROBE_INTERVAL_S
             try:
                 await self._connections.probe(worker)
             except ClosedOnAccept:
-                turned_away += 1
+                closed_on_accept += 1
                 pause_s = TURNED_AWAY_PAUSE_S
-                # Full or dead, it would break off at once whatever is sent to it meanwhile.
-                worker.extend_backoff(asyncio.get_running_loop().time() + AVOIDED_S)
+                # Whether full or dead, it would close any new connection at once.
+                worker.extend_backoff(asyncio.get_running_loop().time() + AVOID_AFTER_CLOSE_S)
             except ConnectFailed as problem:
                 refusals += problem.refused
             else:
-                self._note_alive(worker, "accepts", number, turned_away, began_s)
+                self._log_not_crashed(worker, "accepts", probe, closed_on_accept, began_s)
                 return False
-            if refusals >= REFUSALS_NEEDED:
+            if refusals >= MIN_REFUSALS:
                 return True
             await asyncio.sleep(pause_s)
-        said_s = worker.last_data_s
-        ended = turned_away == MOST_CHECKS and said_s <= began_s + LAST_WORDS_S
-        if not ended:
-            self._note_alive(worker, "said something or unclear", MOST_CHECKS, turned_away, began_s)
-        return ended
-
-    def _note_alive(
-        self, worker: Worker, cause: str, checks: int, turned_away: int, began_s: float
+        last_data_s = worker.last_data_s
+        crashed = closed_on_accept == MAX_PROBES and last_data_s <= began_s + BUFFERED_DATA_GRACE_S
+        if not crashed:
+            self._log_not_crashed(
+                worker, "said something or unclear", MAX_PROBES, closed_on_accept, began_s
+            )
+        return crashed
+
+    def _log_not_crashed(
+        self, worker: Worker, cause: str, probes: int, closed_on_accept: int, began_s: float
     ) -> None:
-        """Tell why a worker at which an exchange broke is not taken as ended."""
+        """Log why a worker with a broken exchange does not count as crashed."""
         now_s = asyncio.get_running_loop().time()
-        said_s = worker.last_data_s
+        last_data_s = worker.last_data_s
         self._log.event(
             "worker_not_ended",
             worker=worker.record.worker_id,
             cause=cause,
-            checks=checks,
-            turned_away=turned_away,
+            checks=probes,
+            turned_away=closed_on_accept,
             after_ms=milliseconds(now_s - began_s),
-            said_after_ms=milliseconds(said_s - began_s) if said_s > began_s else None,
+            said_after_ms=milliseconds(last_data_s - began_s) if last_data_s > began_s else None,
         )
--- a/mountstand/serving/worker_protocol.py
+++ b/mountstand/serving/worker_protocol.py
@@ -1,4 +1,4 @@
-"""Port to the workers: how a request is put to one, and what its answer says."""
+"""Interface to the workers' protocol: how requests are sent and replies are interpreted."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
 @dataclass(frozen=True)
 class Call:
-    """A request as it is put to workers, online or from a batch job.
+    """A request as sent to workers, whether online or a batch item.
 
-    ``time_left_ms`` of a dispatch is given apart, since it shrinks from one to the next.
+    It may take several exchanges, that is, attempts at one worker each. The time left until the
+    deadline is not part of it, as it differs between them.
     """
 
     request_id: str
@@ -31,53 +32,59 @@
     prompt: Prompt = EMPTY_PROMPT
     last_event_id: int | None = None
     tenant: str = ""
-    """The name of the caller's tenant, empty where callers need no key."""
+    """Name of the caller's tenant, empty if callers need no API key."""
 
     tenant_weight: float | None = None
-    """The weight of the tenant's share where a service is short of room, if it has one."""
+    """Weight of the tenant's fair share while a service is short of capacity; may be unset."""
 
     priority: int = 0
-    """The rank of an online request among those that wait, 0 being the most urgent."""
+    """Priority of an online request in the queue; 0 is the most urgent."""
 
     regions: Regions | None = ANYWHERE
-    """Where the request may be served."""
+    """Regions in which the request may be served."""
 
     @cached_property
     def content_key(self) -> int:
-        """The number that stands for what is asked and by whom, whatever the id of the request.
+        """Hash of host, method, target, tenant and body, the same for retries by the caller.
 
-        A caller that sends a request again gives it another id; path, body and caller stay.
+        The request id is left out, because a caller's retry has a new one.
         """
         texts = (self.host, self.method, self.target, self.tenant)
         return content_key(*(text.encode() for text in texts), self.body)
 
 
 class ReplyKind(Enum):
-    """What an answer says about the request."""
+    """What a reply says about the request."""
 
     ANSWERED = "answered"
     NOT_RUN = "not run"
+    """The worker refused the request without running it."""
+
     OTHER_WORKER = "other worker"
+    """A worker other than the expected one replied, without running the request."""
 
 
 @dataclass(frozen=True)
 class ReplySummary:
-    """An answer as the product understands it."""
+    """Interpretation of a reply's head."""
 
     kind: ReplyKind
     load: LoadReport | None
 
 
 class WorkerProtocol(Protocol):
-    """What workers of a platform understand."""
+    """Encodes requests for the workers of a platform and decodes their replies."""
 
     def request_headers(
         self, call: Call, worker: Worker, time_left_ms: int | None, resume_after: int | None
     ) -> list[Header]:
-        """Return all headers of a dispatch, but for its framing."""
+        """Return all headers of a request to ``worker`` except those for framing.
+
+        ``resume_after`` is the id of the last event received, for a stream to be resumed.
+        """
 
     def is_reply_to(self, call: Call, headers: Headers) -> bool:
-        """Return whether an answer is the one to ``call``."""
+        """Return whether a reply with these headers belongs to ``call``."""
 
     def reply_summary(self, head: ReplyHead) -> ReplySummary:
-        """Return what an answer's head says."""
+        """Interpret the head of a reply."""
--- a/mountstand/serving/workers.py
+++ b/mountstand/serving/workers.py
@@ -1,4 +1,4 @@
-"""The workers that the platform lists, by service, and which of them may be asked."""
+"""Directory of the workers that the platform lists, and selection among them by service."""
 
 from __future__ import annotations
 
@@ -7,28 +7,32 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from dataclasses import dataclass, replace
 
-from mountstand.serving.cold_workers import ColdBudget, ColdStartLimit, ColdStartShares
+from mountstand.serving.cold_workers import ColdStartBudget, ColdStartLimit, ColdStartShares
 from mountstand.serving.prompt import EMPTY_PROMPT, Prompt
 from mountstand.serving.residency import Geography, Regions
 from mountstand.serving.worker import Worker, WorkerRecord
 from mountstand.serving.worker_choice import WorkerChooser
-from mountstand.serving.worker_health import judge
+from mountstand.serving.worker_health import eject_outliers
 
-MOST_CONSIDERED = 256
-"""Workers that a choice looks at, drawn by chance where a service has more: looking at 3,000 takes
-9 ms, and the least loaded of 256 is hardly fuller than that of all."""
+MAX_CANDIDATES = 256
+"""Larger services are first sampled down to this many workers, which bounds the cost of a choice.
+The least loaded worker of such a sample is hardly fuller than that of the whole service."""
 
-FORGET_S = 10.0
-"""A worker that left is forgotten after so long, so that it may still be listed again."""
+LEAVING_RETENTION_S = 10.0
+"""How long the state of a leaving worker is kept in case the platform lists it again."""
 
 
 class WorkerDirectory:
-    """All workers that the platform lists, and those that left a moment ago.
+    """All workers that the platform lists, and those that left recently.
 
-    ``withdrawn_grace_s`` is how long a worker that is leaving may still be used where no other is left.
-    Indexes are made anew by the first look-up after a change: a start brings thousands of changes
-    at once. Where requests may be served in some regions alone, the workers of a service there are
-    a pool with a name of its own, which stands for a service in all look-ups.
+    A worker is leaving if it is draining or no longer listed, and withdrawn if it is leaving or its
+    zone is evacuated.
+
+    ``withdrawn_grace_s`` is how long a withdrawn worker may still be used if no other worker of its
+    service is reachable. Indexes are rebuilt lazily by the first look-up after a change, since
+    startup brings thousands of changes at once. A pool is the part of a service's workers that is
+    in given regions; the service's name stands for the pool of all its workers, so all look-ups by
+    service also take the name of a pool.
     """
 
     def __init__(
@@ -40,17 +44,20 @@
     ) -> None:
         self.workers: dict[str, Worker] = {}
         self._index: _WorkerIndex | None = None
-        self._source = rng
+        self._rng = rng
         self.withdrawn_grace_s = withdrawn_grace_s
         self.chooser = WorkerChooser(zone, rng)
         self._geography = geography or Geography()
         self._pool_by_name: dict[str, _Pool] = {}
         self._evacuated_since_s: dict[str, float] = {}
-        self._cold_by_service: Mapping[str, ColdStartLimit] = {}
-        self._cold_sends: ColdStartShares | None = None
+        self._cold_limit_by_service: Mapping[str, ColdStartLimit] = {}
+        self._cold_shares: ColdStartShares | None = None
 
     def put(self, record: WorkerRecord, now_s: float) -> bool:
-        """Take a worker's newest record; returns whether it says something new."""
+        """Store a worker's record unless it is outdated; return whether its state changed.
+
+        It did if the worker is new, has restarted, starts or stops draining, or is listed again.
+        """
         known = self.workers.get(record.worker_id)
         if known is not None and known.record.version > record.version:
             return False
@@ -63,8 +70,8 @@
             started_at_ms = record.started_at_ms or known.record.started_at_ms
             known.record = replace(record, started_at_ms=started_at_ms)
             known.evacuated_since_s = self._evacuated_since_s.get(record.zone)
-        if known.cold is not None:
-            known.cold.note_cold(now_s + record.cold_remaining_s)
+        if known.cold_budget is not None:
+            known.cold_budget.extend_cold_period(now_s + record.cold_remaining_s)
         if not record.draining:
             known.leaving_since_s = None
         elif known.leaving_since_s is None:
@@ -73,23 +80,23 @@
         return changed
 
     def _add(self, record: WorkerRecord, former: Worker | None, now_s: float) -> Worker:
-        """Know a worker of which nothing is known but its record.
+        """Add a worker with fresh state.
 
-        ``former`` is the process that had its id before; one that has just started is cold.
+        ``former`` is the previous process with the same id, if any; a restarted worker is cold.
         """
         worker = Worker(record)
         worker.evacuated_since_s = self._evacuated_since_s.get(record.zone)
         self.workers[record.worker_id] = worker
-        self._budget(worker, now_s)
+        self._update_cold_budget(worker, now_s)
         if former is not None:
             worker.assume_restarted(now_s)
         return worker
 
     def remove(self, worker_id: str, version: int, now_s: float) -> bool:
-        """Note that the platform lists a worker no longer; returns whether that is new.
+        """Mark a worker that is no longer listed as leaving; return whether that is new.
 
-        The list loses workers that still serve, and all of them at once when the store was down
-        for some heartbeats; they are listed again a heartbeat later.
+        Workers that still serve can vanish from the list, all of them at once if the store missed
+        some heartbeats; they are listed again one heartbeat later.
         """
         known = self.workers.get(worker_id)
         if known is None or known.leaving_since_s is not None:
@@ -101,7 +108,7 @@
         return True
 
     def replace_all(self, records: Iterable[WorkerRecord], now_s: float) -> None:
-        """Take a complete list."""
+        """Apply a complete list: update the listed workers and mark all others as leaving."""
         listed = {record.worker_id: record for record in records}
         for worker_id, known in self.workers.items():
             if worker_id not in listed:
@@ -110,7 +117,7 @@
             self.put(record, now_s)
 
     def pool_name(self, service: str, regions: Regions | None) -> str:
-        """Return the name of the workers of a service in ``regions``: the service's own for all."""
+        """Return the name of a service's pool in ``regions``, or the service's if unrestricted."""
         if regions is None:
             return service
         name = f"{service} in {', '.join(sorted(regions))}"
@@ -120,27 +127,27 @@
         return name
 
     def pool_contains(self, pool_name: str, worker: Worker) -> bool:
-        """Return whether a pool or service has a worker."""
-        found = self._pool_by_name.get(pool_name)
-        if found is None:
+        """Return whether a worker belongs to a pool or service."""
+        definition = self._pool_by_name.get(pool_name)
+        if definition is None:
             return pool_name == worker.record.service
-        allowed = self._geography.allows(found.regions, worker.record.zone)
-        return allowed and found.service == worker.record.service
+        allowed = self._geography.allows(definition.regions, worker.record.zone)
+        return allowed and definition.service == worker.record.service
 
     def pool_names_of(self, worker: Worker) -> list[str]:
-        """Return the names of all pools that a worker is in, its service's first."""
+        """Return the names of a worker's service and of all pools that contain it."""
         pool_names = [name for name in self._pool_by_name if self.pool_contains(name, worker)]
         return [worker.record.service, *pool_names]
 
     @property
     def pool_names(self) -> list[str]:
-        """The services that have workers, and the pools that requests asked for."""
+        """Names of the services that have workers and of all pools created so far."""
         return [*self.services, *self._pool_by_name]
 
     def set_evacuated_zones(self, zones: Collection[str], now_s: float) -> list[Worker]:
-        """Use the workers of these zones no more, and those of all others; return the new ones.
+        """Withdraw the workers of exactly these zones; return the newly withdrawn ones.
 
-        Workers of a zone that is used again may have started anew meanwhile.
+        Workers of a zone that is in use again may have restarted meanwhile and count as cold.
         """
         since_s = self._evacuated_since_s
         self._evacuated_since_s = {zone: since_s.get(zone, now_s) for zone in zones}
@@ -156,59 +163,63 @@
         return newly
 
     def set_cold_start_limits(
-        self, cold_by_service: Mapping[str, ColdStartLimit], sends: ColdStartShares, now_s: float
+        self, limit_by_service: Mapping[str, ColdStartLimit], shares: ColdStartShares, now_s: float
     ) -> None:
-        """Send workers of these services no more than they bear while they are cold."""
-        self._cold_by_service = cold_by_service
-        self._cold_sends = sends
+        """Set the cold-start limits by service, and this daemon's shares in them."""
+        self._cold_limit_by_service = limit_by_service
+        self._cold_shares = shares
         for worker in self.workers.values():
-            self._budget(worker, now_s)
+            self._update_cold_budget(worker, now_s)
 
-    def _budget(self, worker: Worker, now_s: float) -> None:
-        """Give a worker a budget for its cold starts, or take it away."""
+    def _update_cold_budget(self, worker: Worker, now_s: float) -> None:
+        """Create, update or remove a worker's cold-start budget as its service's limit demands."""
         record = worker.record
-        cold = self._cold_by_service.get(record.service)
-        if cold is None or self._cold_sends is None:
-            worker.cold = None
-        elif worker.cold is None:
-            worker.cold = ColdBudget(record.worker_id, cold, self._cold_sends)
-            worker.cold.note_cold(now_s + record.cold_remaining_s)
+        limit = self._cold_limit_by_service.get(record.service)
+        if limit is None or self._cold_shares is None:
+            worker.cold_budget = None
+        elif worker.cold_budget is None:
+            worker.cold_budget = ColdStartBudget(record.worker_id, limit, self._cold_shares)
+            worker.cold_budget.extend_cold_period(now_s + record.cold_remaining_s)
         else:
-            worker.cold.cold = cold
+            worker.cold_budget.limit = limit
 
     def eject_failing_workers(self, now_s: float) -> list[Worker]:
-        """Eject workers that fail far more often than others; returns the new ones."""
+        """Eject workers that fail far more often than others; return the newly ejected ones."""
         newly: list[Worker] = []
         for service in self.services:
             workers = self.active_workers(service)
-            ejected = judge([worker.health for worker in workers], now_s)
+            ejected = eject_outliers([worker.health for worker in workers], now_s)
             if ejected:
                 newly += [worker for worker in workers if worker.health in ejected]
         return newly
 
     def sweep(self, now_s: float) -> None:
-        """Forget workers that left long ago."""
+        """Drop idle workers that have been leaving for more than ``LEAVING_RETENTION_S`` ago."""
         for worker_id, known in list(self.workers.items()):
             since_s = known.leaving_since_s
-            if since_s is not None and not known.in_flight and now_s - since_s > FORGET_S:
+            if (
+                since_s is not None
+                and not known.in_flight
+                and now_s - since_s > LEAVING_RETENTION_S
+            ):
                 del self.workers[worker_id]
                 self._index = None
 
     def forget(self, worker: Worker) -> None:
-        """Drop a worker that another one answered for at its address."""
+        """Drop a worker whose address now belongs to another worker."""
         if self.workers.get(worker.record.worker_id) is worker:
             del self.workers[worker.record.worker_id]
             self._index = None
 
     def active_workers(self, service: str) -> list[Worker]:
-        """Return the workers of a service that take new work; the list is not to be changed."""
-        return self._indexed().staying_by_service.get(service, [])
+        """Return the workers of a service that are not withdrawn; do not modify the list."""
+        return self._indexed().active_by_service.get(service, [])
 
-    def just_left(self, service: str, now_s: float) -> list[Worker]:
-        """Return workers that were withdrawn a moment ago and still serve."""
+    def recently_withdrawn(self, service: str, now_s: float) -> list[Worker]:
+        """Return the workers that were withdrawn within the last ``withdrawn_grace_s``."""
         return [
             worker
-            for worker in self._indexed().leaving_by_service.get(service, [])
+            for worker in self._indexed().withdrawn_by_service.get(service, [])
             if worker.withdrawn_since_s is not None
             and now_s - worker.withdrawn_since_s <= self.withdrawn_grace_s
         ]
@@ -219,33 +230,38 @@
         prompt: Prompt,
         tried: set[str],
         now_s: float,
-        allows: Callable[[Worker], bool] = lambda worker: True,
+        accepts: Callable[[Worker], bool] = lambda worker: True,
     ) -> Worker | None:
-        """Choose the worker for an online request, or ``None`` where there is none left.
+        """Choose a worker for an online request; return ``None`` if no untried one can be used.
 
-        Of the workers that would be asked, those are left out that ``allows`` says no to.
+        ``tried`` holds ids of workers to skip; ``accepts`` may rule out further ones.
         """
         candidates: list[Worker] = []
         if prompt.affinity_key is None:
             candidates = [
                 worker
-                for worker in self._drawn(service)
+                for worker in self._random_candidates(service)
                 if worker.is_available(now_s)
                 and worker.record.worker_id not in tried
-                and allows(worker)
+                and accepts(worker)
             ]
         if not candidates:
-            candidates = [w for w in self._candidates(service, tried, now_s) if allows(w)]
+            candidates = [w for w in self._candidates(service, tried, now_s) if accepts(w)]
         return self.chooser.choose(candidates, prompt, now_s) if candidates else None
 
-    def choose_below_utilization(self, service: str, fill: float, now_s: float) -> Worker | None:
-        """Choose a worker that one more request fills to ``fill`` of its slots at most."""
+    def choose_below_utilization(
+        self, service: str, max_utilization: float, now_s: float
+    ) -> Worker | None:
+        """Choose a worker that stays within ``max_utilization`` with one more request, if any.
+
+        The utilization is the share of slots in use, not weighted by slowdown.
+        """
 
         def has_room(worker: Worker) -> bool:
-            filled = worker.estimated_load(now_s) + 1
-            return worker.is_available(now_s) and filled <= worker.slots() * fill
+            load = worker.estimated_load(now_s) + 1
+            return worker.is_available(now_s) and load <= worker.slots() * max_utilization
 
-        candidates = [worker for worker in self._drawn(service) if has_room(worker)]
+        candidates = [worker for worker in self._random_candidates(service) if has_room(worker)]
         if not candidates:
             candidates = [worker for worker in self.active_workers(service) if has_room(worker)]
         if not candidates:
@@ -253,67 +269,71 @@
         return self.chooser.choose_least_loaded(candidates, EMPTY_PROMPT, now_s)
 
     def choose_own_slot(self, service: str, now_s: float) -> Worker | None:
-        """Choose a worker of which one of this daemon's own slots is free, if there is any."""
+        """Choose a worker at which one of this daemon's own slots is free, if any."""
         own_slots = self.chooser.own_slots
         own = [w for w in self.active_workers(service) if w.record.worker_id in own_slots]
-        usable = [worker for worker in own if worker.is_available(now_s)]
-        return self.chooser.choose_own_slot(usable, sys.maxsize, now_s)
+        available = [worker for worker in own if worker.is_available(now_s)]
+        return self.chooser.choose_own_slot(available, sys.maxsize, now_s)
 
-    def _drawn(self, service: str) -> list[Worker]:
-        """Return some workers of a service that has many, else none."""
+    def _random_candidates(self, service: str) -> list[Worker]:
+        """Return a random sample if a service has more than ``MAX_CANDIDATES``, else nothing."""
         workers = self.active_workers(service)
-        if len(workers) <= MOST_CONSIDERED:
+        if len(workers) <= MAX_CANDIDATES:
             return []
-        return self._source.sample(workers, MOST_CONSIDERED)
+        return self._rng.sample(workers, MAX_CANDIDATES)
 
     def slots(self) -> int:
-        """Return how many requests all listed workers run at once."""
+        """Return the total number of slots of all workers that are not withdrawn."""
         return self._indexed().slots
 
     @property
     def services(self) -> list[str]:
-        """The services that have workers."""
+        """Sorted names of the services that have workers."""
         return self._indexed().services
 
     @property
     def by_key(self) -> dict[int, Worker]:
-        """All workers by the numbers that stand for them among daemons; not to be changed."""
+        """All workers by :attr:`Worker.key`; do not modify."""
         return self._indexed().by_key
 
     def _candidates(self, service: str, tried: set[str], now_s: float) -> list[Worker]:
+        """Return the untried workers of the first non-empty group, without those at a cold limit.
+
+        The groups are: healthy, ejected, recently withdrawn, in backoff. The list may be empty.
+        """
         untried = [
             worker
             for worker in self.active_workers(service)
-            if worker.record.worker_id not in tried and worker.bears_one(now_s)
+            if worker.record.worker_id not in tried and worker.within_cold_limit(now_s)
         ]
         reachable = [worker for worker in untried if worker.backoff_until_s <= now_s]
-        sound = [worker for worker in reachable if not worker.health.is_ejected(now_s)]
-        if sound or reachable:
-            return sound or reachable
-        leaving = [
+        healthy = [worker for worker in reachable if not worker.health.is_ejected(now_s)]
+        if healthy or reachable:
+            return healthy or reachable
+        withdrawn = [
             worker
-            for worker in self.just_left(service, now_s)
+            for worker in self.recently_withdrawn(service, now_s)
             if worker.record.worker_id not in tried
             and worker.backoff_until_s <= now_s
-            and worker.bears_one(now_s)
+            and worker.within_cold_limit(now_s)
         ]
-        return leaving or untried
+        return withdrawn or untried
 
     def _indexed(self) -> _WorkerIndex:
         if self._index is None:
             self._index = _WorkerIndex(self.workers.values())
             for name in self._pool_by_name:
-                held = [
+                members = [
                     worker for worker in self.workers.values() if self.pool_contains(name, worker)
                 ]
-                self._index.add_pool(name, held)
+                self._index.add_pool(name, members)
         return self._index
 
 
 def _has_restarted(known: WorkerRecord, record: WorkerRecord) -> bool:
-    """Return whether a record is that of a later process than the known one, under the same id.
+    """Return whether two records with the same worker id belong to different processes.
 
-    A record that does not tell when its process started says nothing of that.
+    Without both start times this is unknown and taken as no restart.
     """
     return (
         known.started_at_ms > 0
@@ -324,34 +344,34 @@
 
 @dataclass(frozen=True, slots=True)
 class _Pool:
-    """The workers of a service in some regions."""
+    """Definition of a pool: a service restricted to some regions."""
 
     service: str
     regions: Regions
 
 
 class _WorkerIndex:
-    """Look-ups over workers as they are at one moment."""
+    """Look-up tables for one state of the directory."""
 
-    __slots__ = ("by_key", "leaving_by_service", "services", "slots", "staying_by_service")
+    __slots__ = ("active_by_service", "by_key", "services", "slots", "withdrawn_by_service")
 
     def __init__(self, workers: Iterable[Worker]) -> None:
         self.by_key: dict[int, Worker] = {}
-        self.staying_by_service: dict[str, list[Worker]] = {}
-        self.leaving_by_service: dict[str, list[Worker]] = {}
+        self.active_by_service: dict[str, list[Worker]] = {}
+        self.withdrawn_by_service: dict[str, list[Worker]] = {}
         self.slots = 0
         for worker in workers:
             self.by_key[worker.key] = worker
             self._add(worker.record.service, worker)
             self.slots += worker.slots() if worker.withdrawn_since_s is None else 0
-        self.services = sorted(self.staying_by_service.keys() | self.leaving_by_service.keys())
+        self.services = sorted(self.active_by_service.keys() | self.withdrawn_by_service.keys())
 
     def add_pool(self, name: str, workers: Iterable[Worker]) -> None:
-        """Add the workers of a pool under its name."""
+        """Index the workers of a pool under its name."""
         for worker in workers:
             self._add(name, worker)
 
     def _add(self, name: str, worker: Worker) -> None:
-        staying = worker.withdrawn_since_s is None
-        by_name = self.staying_by_service if staying else self.leaving_by_service
+        active = worker.withdrawn_since_s is None
+        by_name = self.active_by_service if active else self.withdrawn_by_service
         by_name.setdefault(name, []).append(worker)
--- a/tests/serving/test_worker_ends.py
+++ b/tests/serving/test_worker_ends.py
@@ -1,4 +1,4 @@
-"""Which breaks of an exchange are taken for the end of a worker."""
+"""Tests of which broken exchanges count as a crash of the worker."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 def call(request_id: str = "r1", body: bytes = b"body", tenant: str = "") -> Call:
-    """Return a request as it is put to workers."""
+    """Return a request as sent to workers."""
     return Call(request_id, HOST, "POST", "/x", (), body, tenant=tenant)
 
 
-class Ends(TestCase):
-    def test_a_worker_that_refuses_connections_has_ended(self) -> None:
+class CrashDetection(TestCase):
+    def test_worker_that_refuses_connections_has_crashed(self) -> None:
         async def body() -> None:
             async with Fleet(StandInWorker("w0")) as fleet:
                 worker = fleet.directory.workers["w0"]
                 await fleet.workers[0].stop()
                 fleet.crash_detector.note_broken(worker, call("r1", b"one"), 0.0)
                 fleet.crash_detector.note_broken(worker, call("r2", b"two"), 0.0)
-                await eventually(lambda: fleet.log.lines("worker_ended"), "end told")
+                await eventually(lambda: fleet.log.lines("worker_ended"), "worker_ended logged")
                 (line,) = fleet.log.lines("worker_ended")
                 self.assertEqual(("w0", 2), (line["worker"], line["broken"]))
                 self.assertIn(f"{call('r9', b'one').content_key:016x}", line["contents"])
 
         run(body())
 
-    def test_a_worker_that_accepts_connections_runs_on(self) -> None:
+    def test_worker_that_accepts_connections_has_not_crashed(self) -> None:
         async def body() -> None:
             async with Fleet(StandInWorker("w0")) as fleet:
                 fleet.crash_detector.note_broken(fleet.directory.workers["w0"], call(), 0.0)
@@ -42,41 +42,46 @@
 
         run(body())
 
-    async def forwarder(self, fleet: Fleet, heard: bool = False) -> None:
-        """Put a listener at a dead worker's address that accepts connections and resets them."""
+    async def start_forwarder(self, fleet: Fleet, worker_responds: bool = False) -> None:
+        """Replace the worker by a listener that resets every connection it accepts.
+
+        With ``worker_responds``, the worker still sends data on other connections.
+        """
         worker = fleet.directory.workers["w0"]
         await fleet.workers[0].stop()
 
-        async def turn_away(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def reset_connection(
+            reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             reset(writer.transport)
-            if heard:
+            if worker_responds:
                 worker.note_reply(asyncio.get_running_loop().time())
 
-        server = await asyncio.start_server(turn_away, "127.0.0.1", worker.record.port)
+        server = await asyncio.start_server(reset_connection, "127.0.0.1", worker.record.port)
         self.addCleanup(server.close)
 
-    def test_a_dead_worker_behind_a_port_forwarder_has_ended(self) -> None:
-        """Its address accepts connections and resets them; one crashing request reached 117."""
+    def test_dead_worker_behind_a_port_forwarder_has_crashed(self) -> None:
+        """Guards against taking a forwarder that still accepts connections for a live worker."""
 
         async def body() -> None:
             async with Fleet(StandInWorker("w0")) as fleet:
-                await self.forwarder(fleet)
+                await self.start_forwarder(fleet)
                 fleet.crash_detector.note_broken(fleet.directory.workers["w0"], call(), 0.0)
-                await eventually(lambda: fleet.log.lines("worker_ended"), "end told")
+                await eventually(lambda: fleet.log.lines("worker_ended"), "worker_ended logged")
 
         run(body())
 
-    def test_a_full_worker_that_turns_connections_away_is_heard_on_others(self) -> None:
+    def test_full_worker_that_resets_new_connections_has_not_crashed(self) -> None:
         async def body() -> None:
             async with Fleet(StandInWorker("w0")) as fleet:
-                await self.forwarder(fleet, heard=True)
+                await self.start_forwarder(fleet, worker_responds=True)
                 fleet.crash_detector.note_broken(fleet.directory.workers["w0"], call(), 0.0)
                 await asyncio.sleep(1.5)
                 self.assertEqual([], fleet.log.lines("worker_ended"))
 
         run(body())
 
-    def test_the_end_of_a_worker_that_was_leaving_is_planned(self) -> None:
+    def test_exit_of_a_leaving_worker_is_no_crash(self) -> None:
         async def body() -> None:
             async with Fleet(StandInWorker("w0")) as fleet:
                 worker = fleet.directory.workers["w0"]
@@ -89,11 +94,11 @@
         run(body())
 
 
-class Contents(TestCase):
-    def test_the_id_of_a_request_is_no_part_of_its_content(self) -> None:
+class ContentKey(TestCase):
+    def test_content_key_ignores_the_request_id(self) -> None:
         self.assertEqual(call("r1").content_key, call("r2").content_key)
 
-    def test_caller_path_and_body_are(self) -> None:
+    def test_content_key_covers_tenant_path_and_body(self) -> None:
         keys = {call().content_key, call(body=b"other").content_key, call(tenant="t").content_key}
         keys.add(Call("r1", HOST, "POST", "/x", (), b"body\x00").content_key)
         keys.add(Call("r1", HOST, "POST", "/xb", (), b"ody").content_key)
--- a/tests/serving/test_worker_health.py
+++ b/tests/serving/test_worker_health.py
@@ -1,4 +1,4 @@
-"""Workers that fail far more often than others are ejected, by what all daemons saw."""
+"""Tests of outlier ejection by the outcomes that all daemons have seen."""
 
 from __future__ import annotations
 
@@ -9,41 +9,41 @@
 from mountstand.serving.load_groups import Peer
 from mountstand.serving.load_sharing import LoadSharing
 from mountstand.serving.prompt import EMPTY_PROMPT
-from mountstand.serving.worker_health import judge, new_health
+from mountstand.serving.worker_health import eject_outliers, new_health
 from mountstand.serving.workers import WorkerDirectory
 from mountstand.wire.gossip import LoadDigest
 from tests.serving.test_routing import worker_record
 from tests.stand_ins.digest_link import RecordingLink
 
 
-class Health(TestCase):
+class OutlierEjection(TestCase):
     def ejected(self, *outcomes: tuple[int, int]) -> list[int]:
-        """Return the positions of workers ejected after (succeeded, failed) each."""
+        """Return the indexes of the workers that are ejected after (succeeded, failed) outcomes."""
         workers = [new_health() for _ in outcomes]
         for health, (succeeded, failed) in zip(workers, outcomes, strict=True):
             for _ in range(succeeded):
                 health.own.add(1.0, failed=False)
             for _ in range(failed):
                 health.own.add(1.0, failed=True)
-        judge(workers, 1.0)
-        return [n for n, health in enumerate(workers) if health.is_ejected(1.0)]
+        eject_outliers(workers, 1.0)
+        return [index for index, health in enumerate(workers) if health.is_ejected(1.0)]
 
-    def test_table(self) -> None:
+    def test_ejected_workers_by_outcomes(self) -> None:
         cases = {
-            "one far worse": (((10, 0), (10, 0), (6, 4)), [2]),
-            "all alike": (((6, 4), (6, 4), (6, 4)), []),
+            "one fails far more often": (((10, 0), (10, 0), (6, 4)), [2]),
+            "all fail alike": (((6, 4), (6, 4), (6, 4)), []),
             "too few outcomes": (((10, 0), (10, 0), (0, 4)), []),
-            "seldom": (((10, 0), (10, 0), (18, 2)), []),
-            "half of them": (((6, 4), (4, 6), (10, 0), (10, 0)), [0, 1]),
-            "the worst of three": (((6, 4), (4, 6), (10, 0)), []),
-            "most fail: hardly the workers": (((6, 4), (4, 6), (5, 5), (10, 0)), []),
-            "a lone worker": (((0, 9),), []),
+            "low failure rate": (((10, 0), (10, 0), (18, 2)), []),
+            "half of them fail": (((6, 4), (4, 6), (10, 0), (10, 0)), [0, 1]),
+            "two of three fail: median too high": (((6, 4), (4, 6), (10, 0)), []),
+            "most fail: some other cause": (((6, 4), (4, 6), (5, 5), (10, 0)), []),
+            "a single worker": (((0, 9),), []),
         }
         for name, (outcomes, expected) in cases.items():
             with self.subTest(name):
                 self.assertEqual(expected, self.ejected(*outcomes), name)
 
-    def test_each_ejection_lasts_longer_and_outcomes_fade(self) -> None:
+    def test_repeated_ejections_last_longer_and_outcomes_decay(self) -> None:
         health = new_health()
         for _ in range(10):
             health.own.add(0.0, failed=True)
@@ -57,7 +57,7 @@
         self.assertEqual(first_s, health.ejection_s)
 
 
-class Sharing(TestCase):
+class OutcomeSharing(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.directory = WorkerDirectory("zone-a", random.Random(3))
@@ -68,25 +68,25 @@
         self.sharing = LoadSharing(self.directory, Peer("own", "zone-a"), link)
         self.keys = tuple(self.directory.workers[f"w{n}"].key for n in range(3))
 
-    def chosen(self, now_s: float) -> set[str]:
-        found = [self.directory.choose("llm", EMPTY_PROMPT, set(), now_s) for _ in range(30)]
-        return {worker.record.worker_id for worker in found if worker}
+    def chosen_workers(self, now_s: float) -> set[str]:
+        workers = [self.directory.choose("llm", EMPTY_PROMPT, set(), now_s) for _ in range(30)]
+        return {worker.record.worker_id for worker in workers if worker}
 
-    def test_peers_outcomes_eject(self) -> None:
+    def test_outcomes_of_peers_cause_ejection(self) -> None:
         zeros = (0, 0, 0)
         digest = LoadDigest(self.keys, zeros, zeros, (40, 40, 20), (0, 0, 20))
         self.sharing.handle("peer", digest, 1.0)
         self.assertEqual(1, len(self.directory.eject_failing_workers(1.0)))
-        self.assertEqual({"w0", "w1"}, self.chosen(1.0))
-        self.assertEqual({"w0", "w1", "w2"}, self.chosen(9.0))
+        self.assertEqual({"w0", "w1"}, self.chosen_workers(1.0))
+        self.assertEqual({"w0", "w1", "w2"}, self.chosen_workers(9.0))
 
-    def test_peers_word_that_a_worker_is_unreachable(self) -> None:
+    def test_worker_that_a_peer_reports_as_unreachable_is_avoided(self) -> None:
         self.directory.workers["w1"].note_reply(1.0)
         self.sharing.handle("peer", LoadDigest((), (), (), (), (), self.keys[1:]), 1.1)
-        self.assertEqual({"w0", "w1"}, self.chosen(1.1), "w1 was heard from here")
-        self.assertEqual({"w0", "w1", "w2"}, self.chosen(2.5))
+        self.assertEqual({"w0", "w1"}, self.chosen_workers(1.1), "recent contact with w1")
+        self.assertEqual({"w0", "w1", "w2"}, self.chosen_workers(2.5))
 
-    def test_own_observations_are_told_but_not_those_of_peers(self) -> None:
+    def test_digest_contains_own_observations_only(self) -> None:
         self.directory.workers["w0"].note_connect_failed(1.0)
         self.directory.workers["w1"].note_peer_reported_unreachable(1.0)
         self.directory.workers["w2"].health.own.add(1.0, failed=True)
