--- a/mountstand/serving/connections.py
+++ b/mountstand/serving/connections.py
@@ -1,9 +1,10 @@
-"""Connections to workers, pooled per worker.
+"""Pools connections to workers.
 
-A pooled connection to a worker that died silently would cost a request that may run only once, so
-for such a request a connection is used again only while the worker was heard from a moment ago, on
-any connection. Otherwise a new one is made: a failed connect is a safe reason to try another
-worker. A request that may be repeated takes any connection that is still open.
+A non-repeatable request that was sent over a pooled connection to a dead worker must not be
+retried, since it is not known whether it ran. Such a request therefore reuses a connection only if
+the worker, on any connection, sent something or accepted a connection within
+``MAX_WORKER_SILENCE_S``. Otherwise a new connection is opened: if that fails, another worker can
+safely be tried. A repeatable request reuses any connection that is open and within its idle limit.
 """
 
 from __future__ import annotations
@@ -16,51 +17,58 @@
 from mountstand.transport.forwarders import TURNED_AWAY_S
 from mountstand.transport.http_client import ClientConnection, ConnectFailed, connect
 
-SHORTEST_CONNECT_S = 0.1
-LONGEST_CONNECT_S = 0.5
-CONNECT_FACTOR = 10.0
-"""A worker that takes so many times the usual time to accept is treated as unreachable, so that the
-request still has time for another."""
+MIN_CONNECT_TIMEOUT_S = 0.1
+MAX_CONNECT_TIMEOUT_S = 0.5
+CONNECT_TIMEOUT_FACTOR = 10.0
+"""The connect timeout as a multiple of the usual connect time. It is short so that the request has
+time left for another worker."""
 
-HEARD_S = 0.5
-"""How recent the last sign of life must be for a pooled connection to be used."""
+MAX_WORKER_SILENCE_S = 0.5
+"""Time without contact to a worker after which non-repeatable requests use a new connection."""
 
 KEEP_ALIVE_MARGIN_S = 0.5
-"""Workers tell their idle time in whole seconds; a connection is left alone this long before."""
+"""How long before the worker's announced keep-alive timeout a connection is no longer reused.
+Workers announce whole seconds, so the real timeout may be shorter."""
 
-UNTOLD_IDLE_S = 0.3
-"""Idle time assumed where a worker tells none: it is then less than a second."""
+DEFAULT_KEEP_ALIVE_S = 0.3
+"""Keep-alive timeout assumed for workers that announce none. Since less than one second cannot be
+announced, theirs is taken to be shorter than that."""
 
 
 class ClosedOnAccept(ConnectFailed):
-    """A connection was accepted and closed before anything was said."""
+    """A connection was accepted, and closed or reset before any data was exchanged."""
 
 
 class WorkerConnections:
-    """Opens and keeps connections to workers."""
+    """Opens connections to workers and keeps idle ones for reuse."""
 
     def __init__(self) -> None:
         self._idle: dict[str, list[ClientConnection]] = {}
-        self._timeout = AdaptiveTimeout(SHORTEST_CONNECT_S, LONGEST_CONNECT_S, CONNECT_FACTOR)
-        self._rest_limit = IdleLimit()
+        self._timeout = AdaptiveTimeout(
+            MIN_CONNECT_TIMEOUT_S, MAX_CONNECT_TIMEOUT_S, CONNECT_TIMEOUT_FACTOR
+        )
+        self._idle_limit = IdleLimit()
 
-    async def check(self, worker: Worker) -> None:
-        """Find out whether ``worker`` accepts connections. Raises ``ConnectFailed``."""
+    async def check_reachable(self, worker: Worker) -> None:
+        """Raise ``ConnectFailed`` unless ``worker`` accepts a connection.
+
+        The result is recorded in the worker's state and so affects routing, unlike :meth:`probe`.
+        """
         connection = await self._open(worker)
         connection.close()
 
     async def probe(self, worker: Worker) -> None:
-        """Connect to ``worker`` and learn nothing from it for routing. Raises ``ConnectFailed``.
+        """Raise ``ConnectFailed`` unless ``worker`` accepts a connection and keeps it open.
 
-        A full worker may turn a connection away; it must not be avoided for that by all daemons.
-        ``ClosedOnAccept`` tells of a connection that was accepted and closed at once: what listens
-        there may be a port forwarder whose worker is gone.
+        The result does not affect routing, because a full worker may also close connections and
+        must not be avoided by all daemons for that. Raises ``ClosedOnAccept`` if the connection
+        was accepted and closed at once: the listener may be a port forwarder whose worker is gone.
         """
         record = worker.record
         try:
             connection = await connect(record.host, record.port, self._timeout.value_s)
-        except ConnectFailed as problem:
-            if problem.reset:
+        except ConnectFailed as error:
+            if error.reset:
                 raise ClosedOnAccept("reset while it was opened") from None
             raise
         try:
@@ -71,7 +79,11 @@
             connection.close()
 
     async def acquire(self, worker: Worker, *, repeatable: bool) -> ClientConnection:
-        """Return an open connection to ``worker``. Raises ``ConnectFailed``."""
+        """Return a pooled or new connection to ``worker``. Raises ``ConnectFailed``.
+
+        A request that is not ``repeatable`` gets a pooled connection only if the worker was heard
+        from recently.
+        """
         loop = asyncio.get_running_loop()
         now_s = loop.time()
         pooled = self._take_pooled(worker, now_s, repeatable)
@@ -82,71 +94,77 @@
     async def _open(self, worker: Worker) -> ClientConnection:
         loop = asyncio.get_running_loop()
         try:
-            began_s = loop.time()
+            started_at_s = loop.time()
             connection = await connect(
                 worker.record.host, worker.record.port, self._timeout.value_s
             )
-            self._timeout.note(loop.time() - began_s)
+            self._timeout.note(loop.time() - started_at_s)
         except ConnectFailed:
             worker.note_connect_failed(loop.time())
             raise
         worker.note_connected(loop.time())
         return connection
 
-    def release(self, worker: Worker, connection: ClientConnection, limit: int) -> None:
-        """Take a connection back; at most ``limit`` idle ones per worker are kept."""
+    def release(
+        self, worker: Worker, connection: ClientConnection, max_idle_connections: int
+    ) -> None:
+        """Return a connection to the pool, which keeps at most ``max_idle_connections`` per worker.
+
+        A connection that cannot carry another request is closed.
+        """
+        # Contact includes the accepting of a connection; data is only what the worker sent itself.
         worker.last_contact_s = max(worker.last_contact_s, connection.last_received_at_s)
         worker.last_data_s = max(worker.last_data_s, connection.last_bytes_at_s)
         if not connection.end_exchange():
             return
         idle = self._idle.setdefault(worker.incarnation, [])
-        if len(idle) >= limit:
+        if len(idle) >= max_idle_connections:
             connection.close()
         else:
             idle.append(connection)
 
-    def sweep(self, listed: set[str], now_s: float) -> None:
-        """Close connections that rested too long or whose worker's process is gone.
+    def sweep(self, listed_incarnations: set[str], now_s: float) -> None:
+        """Close connections that were idle too long or whose worker process is gone.
 
-        ``listed`` are the incarnations of the workers that are listed.
+        ``listed_incarnations`` holds the incarnations of all workers in the directory.
         """
         for incarnation, idle in list(self._idle.items()):
-            kept = []
+            still_idle = []
             for connection in idle:
-                usable = connection.open and self._rested_well(connection, now_s)
-                if usable and incarnation in listed:
-                    kept.append(connection)
+                usable = connection.open and self._within_idle_limit(connection, now_s)
+                if usable and incarnation in listed_incarnations:
+                    still_idle.append(connection)
                 else:
                     connection.close()
-            if kept:
-                self._idle[incarnation] = kept
+            if still_idle:
+                self._idle[incarnation] = still_idle
             else:
                 del self._idle[incarnation]
 
     def note_broken(self, connection: ClientConnection) -> None:
-        """Learn from an exchange that broke: the worker may have forgotten the connection."""
+        """Lower the idle limit if the worker had dropped an idle connection without notice."""
         now_s = asyncio.get_running_loop().time()
         if connection.was_forgotten(now_s, self._timeout.usual_s):
-            self._rest_limit.note_reset(connection.idle_s(now_s), now_s)
+            self._idle_limit.note_reset(connection.idle_s(now_s), now_s)
 
-    def _rested_well(self, connection: ClientConnection, now_s: float) -> bool:
-        """Return whether a connection's peer surely has not begun to close it for resting."""
+    def _within_idle_limit(self, connection: ClientConnection, now_s: float) -> bool:
+        """Return whether the peer is not expected to have begun closing the idle connection."""
         if connection.keep_alive_s is None:
-            allowed_s = UNTOLD_IDLE_S
+            max_idle_time_s = DEFAULT_KEEP_ALIVE_S
         else:
-            allowed_s = connection.keep_alive_s - KEEP_ALIVE_MARGIN_S
-        return connection.idle_s(now_s) < min(allowed_s, self._rest_limit.value_s(now_s))
+            max_idle_time_s = connection.keep_alive_s - KEEP_ALIVE_MARGIN_S
+        return connection.idle_s(now_s) < min(max_idle_time_s, self._idle_limit.value_s(now_s))
 
     def _take_pooled(
         self, worker: Worker, now_s: float, repeatable: bool
     ) -> ClientConnection | None:
         idle = self._idle.get(worker.incarnation, [])
-        heard_s = worker.last_contact_s
+        last_contact_s = worker.last_contact_s
         while idle:
             connection = idle.pop()
-            heard_s = max(heard_s, connection.last_received_at_s)
-            usable = connection.open and self._rested_well(connection, now_s)
-            if usable and (repeatable or now_s - heard_s <= HEARD_S):
+            last_contact_s = max(last_contact_s, connection.last_received_at_s)
+            usable = connection.open and self._within_idle_limit(connection, now_s)
+            if usable and (repeatable or now_s - last_contact_s <= MAX_WORKER_SILENCE_S):
                 return connection
             connection.close()
         return None
--- a/mountstand/serving/events.py
+++ b/mountstand/serving/events.py
@@ -1,4 +1,4 @@
-"""Splits the body of an event stream into whole events."""
+"""Splits the body of a server-sent event stream into complete events."""
 
 from __future__ import annotations
 
@@ -12,37 +12,37 @@
 
 @dataclass(frozen=True)
 class StreamEvent:
-    """One whole event; ``raw`` are its bytes with the empty line that ends it."""
+    """One complete event; ``raw`` holds its bytes including the terminating empty line."""
 
     raw: bytes
     event_id: int | None
 
     @property
     def data(self) -> bytes:
-        """The event's data, lines joined by a line feed."""
+        """The values of the event's ``data`` lines, joined by line feeds."""
         return b"\n".join(DATA_LINE.findall(self.raw))
 
 
 class EventSplitter:
-    """Takes pieces of a body and gives out whole events."""
+    """Collects pieces of a body and returns the events that they complete."""
 
     def __init__(self) -> None:
         self._pending = b""
 
     def feed(self, piece: bytes) -> list[StreamEvent]:
-        """Return the events that ``piece`` completes."""
+        """Add ``piece`` to the body and return the events that it completes."""
         self._pending += piece
         events = []
         start = 0
         for end in EVENT_END.finditer(self._pending):
             raw = self._pending[start : end.end()]
             start = end.end()
-            found = EVENT_ID.search(raw)
-            events.append(StreamEvent(raw, int(found.group(1)) if found else None))
+            id_match = EVENT_ID.search(raw)
+            events.append(StreamEvent(raw, int(id_match.group(1)) if id_match else None))
         self._pending = self._pending[start:]
         return events
 
     @property
     def partial(self) -> bytes:
-        """Bytes of an event that has not ended."""
+        """The bytes received of an event that is not yet complete; empty between events."""
         return self._pending
--- a/mountstand/serving/exchange.py
+++ b/mountstand/serving/exchange.py
@@ -1,4 +1,4 @@
-"""Progress of one online request over its attempts, and how attempts end."""
+"""The state of one online request across its attempts, and the outcomes of attempts."""
 
 from __future__ import annotations
 
@@ -12,77 +12,121 @@
 
 
 class Outcome(Enum):
-    """How one attempt ended."""
+    """How one attempt ended.
+
+    The values are written to the decision log and label the metrics.
+    """
 
     DELIVERED = "delivered"
+    """The worker's reply was passed to the caller completely, whatever its status."""
+
     NOT_SENT = "not sent"
+    """The connect failed, the connection broke before sending, or a cold worker may get no more."""
+
     NOT_RUN = "not run"
+    """The worker refused the request because it was full."""
+
     OTHER_WORKER = "other worker"
+    """A different worker now listens at the address and refused the request."""
+
     MAY_HAVE_RUN = "may have run"
+    """After sending, before any reply was relayed, the connection broke or the worker became
+    unresponsive."""
+
     FAILED = "failed"
+    """The worker replied with a server error, and the request may be run again."""
+
     BROKEN_MIDWAY = "broken midway"
+    """The attempt failed after this or an earlier attempt had relayed part of a reply."""
 
 
-SAID_NOTHING = frozenset({Outcome.NOT_SENT, Outcome.NOT_RUN, Outcome.OTHER_WORKER})
-"""Ends of attempts that say nothing about whether a worker serves well."""
+OUTCOMES_WITHOUT_RUN = frozenset({Outcome.NOT_SENT, Outcome.NOT_RUN, Outcome.OTHER_WORKER})
+"""Outcomes of attempts that the worker did not run. They don't count towards its health."""
 
-WORKER_FAILED = 500
-"""The status with which a worker says that it failed a request."""
+WORKER_FAILED_STATUS = 500
+"""The HTTP status with which a worker reports that it ran a request and failed."""
 
 
-class WorkerSilent(Exception):
-    """A worker neither answers nor accepts connections."""
+class WorkerUnresponsive(Exception):
+    """A worker sends no data and accepts no connections, or its event stream stalled."""
 
 
 @dataclass
 class Exchange:
-    """Progress of one request over its attempts."""
+    """One online request, its reply to the caller, and the state of its attempts."""
 
     route: Route
     call: Call
     responder: Responder
-    service: str
-    """The service whose workers may be asked, or its pool in the regions of the request."""
+    pool_name: str
+    """The service whose workers may run the request, or its pool in the request's regions."""
 
     deadline_s: float
+    """The time on the event loop's clock by which the caller gets a final reply."""
+
     runs: int = 0
-    refusals: int = 0
-    unreachable: int = 0
-    tried: set[str] = field(default_factory=set)
+    """Attempts in which a worker ran or may have run the request."""
+
+    refused_attempts: int = 0
+    """Attempts refused because the worker was full or another worker listens at its address."""
+
+    unsent_attempts: int = 0
+    """Attempts that ended before the request was sent, such as failed connects."""
+
+    tried_worker_ids: set[str] = field(default_factory=set)
+    """Workers not to be chosen again. Unreachable ones are removed once no other is left."""
+
     last_event_id: int | None = None
-    unreachable_ids: set[str] = field(default_factory=set)
+    """The id after which a stream is resumed: of the last event sent to the caller, or before that
+    the one that the caller named in its request."""
+
+    unreachable_worker_ids: set[str] = field(default_factory=set)
+    """The tried workers to which no connection could be opened."""
+
     delivered: bool = False
+    """Whether a reply was relayed completely."""
+
     worker_id: str = ""
+    """The worker of the latest attempt."""
+
     cause: str = ""
+    """Why the latest attempt or the request failed, as logged."""
+
     first_event_at_s: float | None = None
+    """When the first event of a stream was relayed, on the event loop's clock."""
+
     sent_at_s: float = 0.0
-    waited_s: float = 0.0
-    """How long it waited at this daemon for a worker."""
+    """When the request was last sent to a worker, on the event loop's clock."""
+
+    queue_wait_s: float = 0.0
+    """Time from the receipt of the request until the queue returned its first worker, or none."""
+
+    quarantine_retry_after_s: float = 0.0
+    """``Retry-After`` of a request rejected by the quarantine; 0 if it was not."""
 
-    blocked_for_s: float = 0.0
-    """For how long its content is held back, 0 where it is not."""
+    reported_load: LoadReport | None = None
+    """The load that a worker last reported in a reply to this request."""
 
-    load: LoadReport | None = None
-    expected_load: float = 0.0
-    """Requests at its worker as far as was known when it was sent there, this one included."""
+    estimated_load: float = 0.0
+    """Estimated load of the worker at the start of the latest attempt, including this request."""
 
-    reading: PendingPrefill | None = None
-    """The reading of its prompt by the worker of the present attempt."""
+    pending_prefill: PendingPrefill | None = None
+    """Counts the prompt's tokens as pending at the worker of the current attempt."""
 
     @property
     def may_run_again(self) -> bool:
-        """Whether the route allows another run of a request that may have run."""
+        """Whether the route allows another run of a request that may already have run."""
         return self.route.repeatable and self.runs < self.route.max_attempts
 
-    def end_reading(self) -> None:
-        """Note that the worker has read the prompt, or that the attempt is over."""
-        if self.reading is not None:
-            self.reading.end()
-            self.reading = None
+    def end_pending_prefill(self) -> None:
+        """Stop counting the prompt as pending: it was processed, or the attempt ended."""
+        if self.pending_prefill is not None:
+            self.pending_prefill.end()
+            self.pending_prefill = None
 
 
 def worker_failed(exchange: Exchange, outcome: Outcome) -> bool:
-    """Return whether an attempt failed at its worker."""
-    if outcome in SAID_NOTHING:
+    """Return whether an attempt counts as a failure of its worker."""
+    if outcome in OUTCOMES_WITHOUT_RUN:
         return False
-    return outcome is not Outcome.DELIVERED or exchange.responder.status == WORKER_FAILED
+    return outcome is not Outcome.DELIVERED or exchange.responder.status == WORKER_FAILED_STATUS
--- a/mountstand/serving/forwarder.py
+++ b/mountstand/serving/forwarder.py
@@ -1,8 +1,8 @@
-"""Forwards online requests to workers, with retries only where they are safe.
+"""Forwards online requests to workers and retries them only where a retry is safe.
 
-What may be repeated follows from the route: a request that was surely not run may go to another
-worker; one that may have run goes to another only if its route allows, within the route's
-attempts. Every request gets its final answer at its deadline at the latest.
+An attempt that certainly did not run is retried at another worker on every route. An attempt that
+may have run is retried only if the route declares its requests repeatable, up to the route's
+``max_attempts``. Every request gets a final reply by its deadline.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from mountstand.serving.configuration import Route, WeightedServiceChooser
 from mountstand.serving.connections import WorkerConnections
 from mountstand.serving.exchange import (
-    SAID_NOTHING,
-    WORKER_FAILED,
+    OUTCOMES_WITHOUT_RUN,
+    WORKER_FAILED_STATUS,
     Exchange,
     Outcome,
-    WorkerSilent,
+    WorkerUnresponsive,
     worker_failed,
 )
 from mountstand.serving.exchange_log import ExchangeLog
@@ -38,28 +38,36 @@
 )
 from mountstand.transport.responder import Responder, reject
 
-MAX_REFUSALS = 4
-"""Workers asked before a request that none took is refused; each costs a round trip."""
+MAX_REFUSED_ATTEMPTS = 4
+"""Number of attempts refused by workers after which no further worker is tried. Each costs a round
+trip."""
 
-MAX_UNREACHABLE = 6
-"""Connects tried in vain before a request is refused; each costs a connect time-out at most. Where
-a service has fewer workers they are tried again: a link that loses packets loses the next one
-less often than not."""
+MAX_UNSENT_ATTEMPTS = 6
+"""Number of unsent attempts, such as failed connects, after which no further worker is tried. Each
+costs at most one connect timeout. If the service has fewer workers, unreachable ones are tried
+again, since the next connect over a lossy link usually succeeds."""
+
+RETRY_AFTER_FULL_S = 0.2
+"""``Retry-After`` of requests rejected because workers were full."""
 
-RETRY_FULL_S = 0.2
 RETRY_AFTER_UNAVAILABLE_S = 0.5
-"""When a refused caller is told to come back."""
+"""``Retry-After`` of requests rejected because no worker could be reached or chosen."""
 
 
 class Forwarder:
-    """Runs online requests at workers."""
+    """Forwards online requests to workers until one replies or the request fails.
+
+    Requests whose content is quarantined, as suspected of crashing workers, are rejected. From time
+    to time the quarantine lets one run as a trial, apart from other suspects, to find out whether
+    its content still crashes workers.
+    """
 
     def __init__(
         self,
         directory: WorkerDirectory,
         connections: WorkerConnections,
         protocol: WorkerProtocol,
-        shares: WeightedServiceChooser,
+        service_chooser: WeightedServiceChooser,
         queue: OnlineQueue,
         batch_scheduler: BatchScheduler,
         quarantine: RequestQuarantine,
@@ -70,7 +78,7 @@
         self._directory = directory
         self._connections = connections
         self._protocol = protocol
-        self._shares = shares
+        self._service_chooser = service_chooser
         self._batch_scheduler = batch_scheduler
         self._quarantine = quarantine
         self._relay = ReplyRelay(directory, connections, protocol, batch_scheduler)
@@ -87,113 +95,120 @@
         deadline_s: float,
         on_not_run: Callable[[], object] = lambda: None,
     ) -> None:
-        """Answer ``call``; ``deadline_s`` is on the loop's clock.
+        """Forward ``call`` and send its reply through ``responder``.
 
-        ``on_not_run`` is called at the end if no worker was given the request.
+        ``received_at_s`` and ``deadline_s`` are times on the event loop's clock. Calls
+        ``on_not_run`` at the end if the request certainly did not run at any worker.
         """
         loop = asyncio.get_running_loop()
-        pool_name = self._directory.pool_name(self._shares.choose(route), call.regions)
+        pool_name = self._directory.pool_name(self._service_chooser.choose(route), call.regions)
         exchange = Exchange(route, call, responder, pool_name, deadline_s)
         exchange.last_event_id = call.last_event_id
-        gone = True
+        caller_gone = True
         try:
             async with asyncio.timeout_at(deadline_s):
                 await self._run_attempts(exchange, received_at_s)
-            gone = False
+            caller_gone = False
         except TimeoutError:
-            gone = False
+            caller_gone = False
             exchange.cause = "deadline"
-            self._end_unfinished(exchange)
+            self._end_unsuccessfully(exchange)
         finally:
             if exchange.runs == 0:
                 on_not_run()
-            self._log.request_ended(exchange, received_at_s, loop.time(), gone)
+            self._log.request_ended(exchange, received_at_s, loop.time(), caller_gone)
 
     async def _run_attempts(self, exchange: Exchange, received_at_s: float) -> None:
-        if self._refused_for_content(exchange, None):
+        """Try workers until one delivers a reply or no further attempt is allowed."""
+        if self._reject_if_quarantined(exchange, None):
             return
         worker = await self._wait_for_worker(exchange, received_at_s)
         while not exchange.responder.finished:
-            if self._refused_for_content(exchange, worker):
+            if self._reject_if_quarantined(exchange, worker):
                 return
             if worker is None:
-                exchange.cause = exchange.cause or _no_worker(exchange)
-                self._end_unfinished(exchange)
+                exchange.cause = exchange.cause or _no_worker_cause(exchange)
+                self._end_unsuccessfully(exchange)
                 return
-            separate = self._separate(exchange, worker)
-            if separate is None:
-                # It may run alone only, and there is no worker for that.
-                self._refuse_for_content(exchange, worker, TRIAL_RETRY_AFTER_S)
+            allowed_worker = self._prefer_allowed_worker(exchange, worker)
+            if allowed_worker is None:
+                # A trial must run apart from other suspects, and no worker is free of them.
+                self._reject_quarantined(exchange, worker, TRIAL_RETRY_AFTER_S)
                 return
-            worker = separate
+            worker = allowed_worker
             with self._quarantine.running(exchange.call, worker):
                 outcome = await self._attempt(exchange, worker)
-            self._note_outcome(exchange, worker, outcome)
+            self._record_outcome(exchange, worker, outcome)
             if outcome is Outcome.DELIVERED:
                 exchange.delivered = True
-                self._note_duration(exchange, worker)
+                self._record_duration(exchange, worker)
                 if not worker_failed(exchange, outcome):
                     self._quarantine.note_served(exchange.call)
                 return
             self._log.attempt_failed(exchange, worker, outcome)
-            if not self._may_go_on(exchange, outcome):
-                self._end_unfinished(exchange)
+            if not self._may_retry(exchange, outcome):
+                self._end_unsuccessfully(exchange)
                 return
-            if outcome not in SAID_NOTHING and self._quarantine.is_suspect(exchange.call):
+            if outcome not in OUTCOMES_WITHOUT_RUN and self._quarantine.is_suspect(exchange.call):
                 await self._quarantine.wait_until_checked(worker)
-            worker = self._choose(exchange)
+            worker = self._choose_worker(exchange)
 
     async def _wait_for_worker(self, exchange: Exchange, received_at_s: float) -> Worker | None:
-        """Return the first worker to try, once one can start the request soon."""
+        """Queue the request until a worker can start it soon, and return that worker.
+
+        Returns ``None`` if the service has no worker or the request was rejected in the queue.
+        """
         route = exchange.route
         caller_start_timeout_s = min(
             route.caller_start_timeout_s, exchange.deadline_s - received_at_s
         )
         priority = exchange.call.priority
-        times = start_deadlines(
+        deadlines = start_deadlines(
             received_at_s, route.target_latency_s, caller_start_timeout_s, priority
         )
         worker = await self._queue.acquire(
-            exchange.service, exchange.call.prompt, times, exchange.call
+            exchange.pool_name, exchange.call.prompt, deadlines, exchange.call
         )
-        exchange.waited_s = asyncio.get_running_loop().time() - received_at_s
+        exchange.queue_wait_s = asyncio.get_running_loop().time() - received_at_s
         return worker
 
-    def _refused_for_content(self, exchange: Exchange, worker: Worker | None) -> bool:
-        """End a request whose content crashes workers; returns whether it does.
+    def _reject_if_quarantined(self, exchange: Exchange, worker: Worker | None) -> bool:
+        """Reject a request whose content is quarantined; return whether it was rejected.
 
-        ``worker`` is the one that counts the request already, if any; its slot is freed.
+        ``worker`` is the worker at which the request already holds a slot, if any. The slot of a
+        rejected request is freed.
         """
         blocked_for_s = self._quarantine.blocked_for_s(exchange.call)
         if blocked_for_s:
-            self._refuse_for_content(exchange, worker, blocked_for_s)
+            self._reject_quarantined(exchange, worker, blocked_for_s)
         return blocked_for_s > 0
 
-    def _refuse_for_content(
-        self, exchange: Exchange, worker: Worker | None, blocked_for_s: float
+    def _reject_quarantined(
+        self, exchange: Exchange, worker: Worker | None, retry_after_s: float
     ) -> None:
         if worker is not None:
             self._free_slot(worker)
-        exchange.blocked_for_s = blocked_for_s
+        exchange.quarantine_retry_after_s = retry_after_s
         exchange.cause = "quarantined"
         self._log.request_quarantined(exchange)
-        self._end_unfinished(exchange)
+        self._end_unsuccessfully(exchange)
 
-    def _separate(self, exchange: Exchange, worker: Worker) -> Worker | None:
-        """Return the worker to use instead of one where another suspect runs, if there is any.
+    def _prefer_allowed_worker(self, exchange: Exchange, worker: Worker) -> Worker | None:
+        """Return a worker at which the quarantine allows the request, moving its slot there.
 
-        ``None`` is for a request that must not run beside other suspects.
+        If there is none, falls back to ``worker``, or returns ``None`` for a trial, which must
+        not share a worker with other suspects.
         """
         if self._quarantine.allows(exchange.call, worker):
             return worker
         now_s = asyncio.get_running_loop().time()
         call = exchange.call
         other = self._directory.choose(
-            exchange.service,
+            exchange.pool_name,
             call.prompt,
-            exchange.tried,
+            exchange.tried_worker_ids,
             now_s,
-            lambda each: self._quarantine.allows(call, each),
+            lambda candidate: self._quarantine.allows(call, candidate),
         )
         if other is None:
             return None if self._quarantine.requires_trial(call) else worker
@@ -201,85 +216,94 @@
         self._free_slot(worker)
         return other
 
-    def _note_duration(self, exchange: Exchange, worker: Worker) -> None:
-        """Learn how long requests usually take from one that was served."""
-        if exchange.responder.status < WORKER_FAILED:
+    def _record_duration(self, exchange: Exchange, worker: Worker) -> None:
+        """Add the duration of a request without server error to the service's average."""
+        if exchange.responder.status < WORKER_FAILED_STATUS:
             duration_s = asyncio.get_running_loop().time() - exchange.sent_at_s
             self._directory.chooser.durations.observe(worker.record.service, duration_s)
 
-    def _note_outcome(self, exchange: Exchange, worker: Worker, outcome: Outcome) -> None:
-        """Count what the attempt says about the worker."""
-        if outcome in SAID_NOTHING:
+    def _record_outcome(self, exchange: Exchange, worker: Worker, outcome: Outcome) -> None:
+        """Count the attempt as a success or failure in the worker's health statistics."""
+        if outcome in OUTCOMES_WITHOUT_RUN:
             return
         failed = worker_failed(exchange, outcome)
         worker.health.own.add(asyncio.get_running_loop().time(), failed=failed)
 
-    def _choose(self, exchange: Exchange) -> Worker | None:
-        """Choose a worker for a further attempt, and count the request there."""
-        worker = self._choose_untried(exchange)
-        if worker is None and exchange.unreachable_ids:
-            exchange.tried -= exchange.unreachable_ids
-            exchange.unreachable_ids.clear()
-            worker = self._choose_untried(exchange)
+    def _choose_worker(self, exchange: Exchange) -> Worker | None:
+        """Choose a worker for a further attempt and take a slot there.
+
+        Workers that could not be reached are tried again once all others were tried.
+        """
+        worker = self._choose_untried_worker(exchange)
+        if worker is None and exchange.unreachable_worker_ids:
+            exchange.tried_worker_ids -= exchange.unreachable_worker_ids
+            exchange.unreachable_worker_ids.clear()
+            worker = self._choose_untried_worker(exchange)
         if worker is not None:
             worker.in_flight += 1
         return worker
 
-    def _choose_untried(self, exchange: Exchange) -> Worker | None:
+    def _choose_untried_worker(self, exchange: Exchange) -> Worker | None:
         now_s = asyncio.get_running_loop().time()
-        return self._directory.choose(exchange.service, exchange.call.prompt, exchange.tried, now_s)
+        return self._directory.choose(
+            exchange.pool_name, exchange.call.prompt, exchange.tried_worker_ids, now_s
+        )
 
-    def _may_go_on(self, exchange: Exchange, outcome: Outcome) -> bool:
-        """Decide whether another worker may be tried after ``outcome``."""
+    def _may_retry(self, exchange: Exchange, outcome: Outcome) -> bool:
+        """Count the failed attempt and return whether another worker may be tried."""
         if outcome in (Outcome.NOT_RUN, Outcome.OTHER_WORKER):
-            exchange.refusals += 1
-            return exchange.refusals < MAX_REFUSALS
+            exchange.refused_attempts += 1
+            return exchange.refused_attempts < MAX_REFUSED_ATTEMPTS
         if outcome is Outcome.NOT_SENT:
-            exchange.unreachable += 1
-            return exchange.unreachable < MAX_UNREACHABLE
+            exchange.unsent_attempts += 1
+            return exchange.unsent_attempts < MAX_UNSENT_ATTEMPTS
         return exchange.may_run_again
 
     # One attempt
 
     async def _attempt(self, exchange: Exchange, worker: Worker) -> Outcome:
-        """Make one attempt at a worker that counts the request already."""
-        exchange.tried.add(worker.record.worker_id)
+        """Make one attempt at a worker whose slot the request already holds."""
+        exchange.tried_worker_ids.add(worker.record.worker_id)
         exchange.worker_id = worker.record.worker_id
         now_s = asyncio.get_running_loop().time()
-        exchange.expected_load = worker.estimated_load(now_s)
+        exchange.estimated_load = worker.estimated_load(now_s)
         self._batch_scheduler.preempt_for_online(worker, now_s)
-        exchange.reading = PendingPrefill(worker, exchange.call.prompt)
+        exchange.pending_prefill = PendingPrefill(worker, exchange.call.prompt)
         connection: ClientConnection | None = None
         outcome: Outcome | None = None
         try:
             connection = await self._connections.acquire(
                 worker, repeatable=exchange.route.repeatable
             )
-            outcome = await self._exchange_with(exchange, worker, connection)
+            outcome = await self._send_and_relay(exchange, worker, connection)
             return outcome
-        except ConnectFailed as problem:
-            exchange.cause = f"connect: {problem}"
-            exchange.unreachable_ids.add(worker.record.worker_id)
+        except ConnectFailed as error:
+            exchange.cause = f"connect: {error}"
+            exchange.unreachable_worker_ids.add(worker.record.worker_id)
             return Outcome.NOT_SENT
         finally:
-            exchange.end_reading()
+            exchange.end_pending_prefill()
             if connection is not None:
                 self._connections.release(worker, connection, self.max_idle_connections_per_worker)
-            self._leave(exchange, worker, outcome)
+            self._free_slot_after_attempt(exchange, worker, outcome)
 
-    def _leave(self, exchange: Exchange, worker: Worker, outcome: Outcome | None) -> None:
-        """Count the request at its worker no more, or later if the worker failed it.
+    def _free_slot_after_attempt(
+        self, exchange: Exchange, worker: Worker, outcome: Outcome | None
+    ) -> None:
+        """Free the slot of an ended attempt, after a delay if the worker failed it.
 
-        A worker that fails within milliseconds would look empty and draw the requests of all
-        daemons, until it is ejected; one that breaks off still runs what it was sent, perhaps.
+        The slot of a failed request stays occupied until the average request duration has passed
+        since the request was sent. Otherwise a worker that fails within milliseconds would look
+        idle and attract the requests of all daemons until it is ejected. A worker whose connection
+        broke may also still be running the request.
         """
         loop = asyncio.get_running_loop()
-        left_s = 0.0
+        delay_s = 0.0
         if outcome is not None and worker_failed(exchange, outcome):
             average_s = self._directory.chooser.durations.average_s(worker.record.service)
-            left_s = exchange.sent_at_s + average_s - loop.time()
-        if left_s > 0:
-            loop.call_later(left_s, self._free_slot, worker)
+            delay_s = exchange.sent_at_s + average_s - loop.time()
+        if delay_s > 0:
+            loop.call_later(delay_s, self._free_slot, worker)
         else:
             self._free_slot(worker)
 
@@ -287,17 +311,18 @@
         worker.in_flight -= 1
         self._queue.assign_freed_slot(worker, asyncio.get_running_loop().time())
 
-    async def _exchange_with(
+    async def _send_and_relay(
         self, exchange: Exchange, worker: Worker, connection: ClientConnection
     ) -> Outcome:
+        """Send the request over ``connection`` and relay the reply."""
         now_s = asyncio.get_running_loop().time()
         if not worker.admit_send(now_s):
             exchange.cause = "worker cold"
             self._metrics.send_withheld()
             return Outcome.NOT_SENT
-        left_ms = max(1, int((exchange.deadline_s - now_s) * 1000))
+        remaining_ms = max(1, int((exchange.deadline_s - now_s) * 1000))
         call = exchange.call
-        headers = self._protocol.request_headers(call, worker, left_ms, exchange.last_event_id)
+        headers = self._protocol.request_headers(call, worker, remaining_ms, exchange.last_event_id)
         try:
             connection.send(
                 call.method,
@@ -306,25 +331,29 @@
                 call.body,
                 lambda reply: self._protocol.is_reply_to(call, reply),
             )
-        except ReplyBroken as problem:
-            exchange.cause = problem.reason
+        except ReplyBroken as error:
+            exchange.cause = error.reason
             return Outcome.NOT_SENT
         exchange.runs += 1
         exchange.sent_at_s = now_s
         try:
             return await self._relay.run(exchange, worker, connection)
-        except (ReplyBroken, WorkerSilent) as problem:
-            if isinstance(problem, ReplyBroken):
+        except (ReplyBroken, WorkerUnresponsive) as error:
+            if isinstance(error, ReplyBroken):
                 self._connections.note_broken(connection)
             self._quarantine.note_broken(worker, exchange.call, exchange.sent_at_s)
-            exchange.cause = str(problem)
-            midway = exchange.responder.started
-            return Outcome.BROKEN_MIDWAY if midway else Outcome.MAY_HAVE_RUN
+            exchange.cause = str(error)
+            reply_started = exchange.responder.started
+            return Outcome.BROKEN_MIDWAY if reply_started else Outcome.MAY_HAVE_RUN
 
-    # Ends
+    # Unsuccessful requests
 
-    def _end_unfinished(self, exchange: Exchange) -> None:
-        """Give the final answer to a request that no worker answered whole."""
+    def _end_unsuccessfully(self, exchange: Exchange) -> None:
+        """End a request that has no complete reply.
+
+        Aborts a reply that was started. Otherwise sends 503 with ``Retry-After`` if the request
+        certainly did not run, or else 504 after the deadline and 502 in all other cases.
+        """
         responder = exchange.responder
         if responder.finished:
             return
@@ -332,15 +361,15 @@
             responder.abort()
             return
         if exchange.runs == 0:
-            full = exchange.refusals > 0
-            average_s = RETRY_FULL_S if full else RETRY_AFTER_UNAVAILABLE_S
-            reject(responder, exchange.blocked_for_s or average_s)
+            workers_full = exchange.refused_attempts > 0
+            retry_after_s = RETRY_AFTER_FULL_S if workers_full else RETRY_AFTER_UNAVAILABLE_S
+            reject(responder, exchange.quarantine_retry_after_s or retry_after_s)
             return
         responder.send(504 if exchange.cause == "deadline" else 502)
 
 
-def _no_worker(exchange: Exchange) -> str:
-    """Return why a request found no worker to be sent to."""
+def _no_worker_cause(exchange: Exchange) -> str:
+    """Return the logged cause of a request for which no worker could be chosen."""
     if exchange.call.regions is None:
         return "no worker"
     return f"no worker in its regions {sorted(exchange.call.regions)}"
--- a/mountstand/serving/reply_relay.py
+++ b/mountstand/serving/reply_relay.py
@@ -1,4 +1,4 @@
-"""Reads a worker's answer and passes it on to the caller, as it comes or once it is whole."""
+"""Reads a worker's reply and relays it to the caller, streamed or buffered."""
 
 from __future__ import annotations
 
@@ -8,30 +8,34 @@
 from mountstand.serving.configuration import Route
 from mountstand.serving.connections import WorkerConnections
 from mountstand.serving.events import EventSplitter, StreamEvent
-from mountstand.serving.exchange import Exchange, Outcome, WorkerSilent
+from mountstand.serving.exchange import Exchange, Outcome, WorkerUnresponsive
 from mountstand.serving.worker import Worker
 from mountstand.serving.worker_protocol import ReplyKind, WorkerProtocol
 from mountstand.serving.workers import WorkerDirectory
 from mountstand.transport.http_client import ClientConnection, ConnectFailed, ReplyHead
 
-WHOLE_ANSWER_BYTES = 512 * 1024
-"""Answers up to this size are held until they are whole, so that a broken one can be retried."""
+MAX_BUFFERED_REPLY_BYTES = 512 * 1024
+"""Replies up to this size are buffered until complete, so that a broken one can be retried."""
 
-SUSPICION_S = 0.5
-"""Silence of a worker after which it is checked by a new connection."""
+SILENCE_BEFORE_CHECK_S = 0.5
+"""How long a worker may be silent before it is checked with a new connection. Also the shortest
+stall timeout of streams."""
 
-STALL_GAPS = 2.0
-"""A resumable stream is resumed elsewhere after so many of the longest pauses that are in time."""
+STALL_TIMEOUT_FACTOR = 2.0
+"""A resumable stream is resumed at another worker after a pause of this many times the route's
+``event_gap_s``, the longest expected pause between events, but not before
+``SILENCE_BEFORE_CHECK_S``."""
 
-HANG_S = 1.5
-"""A worker that says nothing for so long counts as failing, while it is waited for. Full workers
-refuse sooner, and what all of a service do alike ejects none."""
+SLOW_HEAD_THRESHOLD_S = 1.5
+"""Time without a reply head after which a failure is counted in the worker's health statistics;
+the request keeps waiting. Full workers refuse sooner. A delay common to all workers of a service
+ejects none, since ejection compares workers with each other."""
 
 EVENT_STREAM = "text/event-stream"
 
 
 class ReplyRelay:
-    """Passes the answers of one attempt after the other on."""
+    """Relays the reply of each attempt from its worker to the caller."""
 
     def __init__(
         self,
@@ -48,56 +52,62 @@
     async def run(
         self, exchange: Exchange, worker: Worker, connection: ClientConnection
     ) -> Outcome:
-        """Pass the answer to a request that was sent on; returns how the attempt ended.
+        """Relay the reply to a request that was sent, and return how the attempt ended.
 
-        Raises ``ReplyBroken`` and ``WorkerSilent``.
+        Raises ``ReplyBroken`` and ``WorkerUnresponsive``.
         """
         head = await self._read_head(exchange, worker, connection)
         now_s = asyncio.get_running_loop().time()
         worker.note_reply(now_s)
-        reply_summary = self._protocol.reply_summary(head)
-        if reply_summary.load is not None:
-            exchange.load = reply_summary.load
-            worker.note_load(reply_summary.load, now_s)
+        summary = self._protocol.reply_summary(head)
+        if summary.load is not None:
+            exchange.reported_load = summary.load
+            worker.note_load(summary.load, now_s)
             self._batch_scheduler.preempt_for_online(worker, now_s)
-        if reply_summary.kind is not ReplyKind.ANSWERED:
+        if summary.kind is not ReplyKind.ANSWERED:
+            # A refused request did not run, so it is not counted as a run after all.
             exchange.runs -= 1
-            return self._note_refusal(exchange, worker, reply_summary.kind, now_s)
+            return self._handle_refusal(exchange, worker, summary.kind, now_s)
         content_type = (head.headers.get("content-type") or "").lower()
         if head.status == 200 and content_type.startswith(EVENT_STREAM):
             return await self._relay_stream(exchange, worker, connection, head)
         if exchange.responder.started:
             exchange.cause = f"status {head.status} on resuming"
             return Outcome.BROKEN_MIDWAY
-        return await self._relay_whole(exchange, connection, head)
+        return await self._relay_body(exchange, connection, head)
 
     async def _read_head(
         self, exchange: Exchange, worker: Worker, connection: ClientConnection
     ) -> ReplyHead:
+        """Wait for the reply head. Checks a silent worker if the request is repeatable."""
         loop = asyncio.get_running_loop()
-        counted = False
+        failure_counted = False
         while True:
             try:
-                async with asyncio.timeout(SUSPICION_S):
+                async with asyncio.timeout(SILENCE_BEFORE_CHECK_S):
                     return await connection.read_head()
             except TimeoutError:
-                if not counted and loop.time() - exchange.sent_at_s > HANG_S:
-                    counted = True
+                if not failure_counted and loop.time() - exchange.sent_at_s > SLOW_HEAD_THRESHOLD_S:
+                    failure_counted = True
                     worker.health.own.add(loop.time(), failed=True)
                 if exchange.route.repeatable:
-                    await self._check_alive(worker)
+                    await self._check_silent_worker(worker)
 
-    async def _check_alive(self, worker: Worker) -> None:
-        """Check a silent worker. Raises ``WorkerSilent`` if it accepts no connection either."""
+    async def _check_silent_worker(self, worker: Worker) -> None:
+        """Raise ``WorkerUnresponsive`` if a silent worker accepts no new connection either.
+
+        Skips the check if there was contact with the worker, on any connection, within
+        ``SILENCE_BEFORE_CHECK_S``.
+        """
         loop = asyncio.get_running_loop()
-        if loop.time() - worker.last_contact_s < SUSPICION_S:
+        if loop.time() - worker.last_contact_s < SILENCE_BEFORE_CHECK_S:
             return
         try:
-            await self._connections.check(worker)
+            await self._connections.check_reachable(worker)
         except ConnectFailed:
-            raise WorkerSilent("silent and unreachable") from None
+            raise WorkerUnresponsive("silent and unreachable") from None
 
-    def _note_refusal(
+    def _handle_refusal(
         self, exchange: Exchange, worker: Worker, kind: ReplyKind, now_s: float
     ) -> Outcome:
         if kind is ReplyKind.OTHER_WORKER:
@@ -108,21 +118,24 @@
         worker.note_overloaded(now_s)
         return Outcome.NOT_RUN
 
-    async def _relay_whole(
+    async def _relay_body(
         self, exchange: Exchange, connection: ClientConnection, head: ReplyHead
     ) -> Outcome:
-        """Pass on an answer that is no event stream; a small one only once it is whole."""
+        """Relay a reply that is not an event stream.
+
+        A reply larger than ``MAX_BUFFERED_REPLY_BYTES`` is relayed before it is complete.
+        """
         responder = exchange.responder
         pieces: list[bytes] = []
-        held_bytes = 0
+        buffered_bytes = 0
         while (piece := await connection.read_piece()) is not None:
             if responder.started:
                 responder.write(piece)
                 await responder.drain()
                 continue
             pieces.append(piece)
-            held_bytes += len(piece)
-            if held_bytes > WHOLE_ANSWER_BYTES:
+            buffered_bytes += len(piece)
+            if buffered_bytes > MAX_BUFFERED_REPLY_BYTES:
                 responder.start(head.status, head.headers.end_to_end(), head.length)
                 responder.write(b"".join(pieces))
         if head.status >= 500 and exchange.may_run_again:
@@ -137,19 +150,22 @@
     async def _relay_stream(
         self, exchange: Exchange, worker: Worker, connection: ClientConnection, head: ReplyHead
     ) -> Outcome:
-        """Pass whole events on as they come; a stream resumed here keeps its first head."""
+        """Relay complete events as they arrive.
+
+        The caller of a resumed stream keeps the head that the first worker sent.
+        """
         responder = exchange.responder
         splitter = EventSplitter()
-        stall_s = self._stall_limit_s(exchange.route)
+        stall_timeout_s = self._stall_timeout_s(exchange.route)
         if not responder.started:
             responder.start(head.status, head.headers.end_to_end(), head.length)
         while True:
-            piece = await self._read_event_bytes(worker, connection, stall_s)
+            piece = await self._read_event_bytes(worker, connection, stall_timeout_s)
             if piece is None:
                 break
             events = splitter.feed(piece)
             if events:
-                await self._pass_on(exchange, events)
+                await self._relay_events(exchange, events)
         if splitter.partial:
             exchange.cause = "ended within an event"
             return Outcome.BROKEN_MIDWAY
@@ -157,29 +173,32 @@
         return Outcome.DELIVERED
 
     async def _read_event_bytes(
-        self, worker: Worker, connection: ClientConnection, stall_s: float | None
+        self, worker: Worker, connection: ClientConnection, stall_timeout_s: float | None
     ) -> bytes | None:
+        """Read part of an event stream. Raises ``WorkerUnresponsive`` if the stream stalls."""
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(stall_s):
+            async with asyncio.timeout(stall_timeout_s):
                 piece = await connection.read_piece()
         except TimeoutError:
+            # A stalled worker gets no new requests for a moment, like one that is full.
             worker.note_overloaded(loop.time())
-            raise WorkerSilent("stalled between events") from None
+            raise WorkerUnresponsive("stalled between events") from None
         worker.last_data_s = loop.time()
         return piece
 
-    async def _pass_on(self, exchange: Exchange, events: list[StreamEvent]) -> None:
+    async def _relay_events(self, exchange: Exchange, events: list[StreamEvent]) -> None:
         for event in events:
             if event.event_id is not None:
                 exchange.last_event_id = event.event_id
-        exchange.end_reading()
+        exchange.end_pending_prefill()
         if exchange.first_event_at_s is None:
             exchange.first_event_at_s = asyncio.get_running_loop().time()
         exchange.responder.write(b"".join(event.raw for event in events))
         await exchange.responder.drain()
 
-    def _stall_limit_s(self, route: Route) -> float | None:
+    def _stall_timeout_s(self, route: Route) -> float | None:
+        """Return the longest allowed time without data, or ``None`` if there is no limit."""
         if not route.resumable or route.event_gap_s is None:
             return None
-        return max(SUSPICION_S, route.event_gap_s * STALL_GAPS)
+        return max(SILENCE_BEFORE_CHECK_S, route.event_gap_s * STALL_TIMEOUT_FACTOR)
--- a/tests/serving/test_held_back.py
+++ b/tests/serving/test_held_back.py
@@ -1,4 +1,4 @@
-"""Online requests whose content crashes workers, and those that run beside them."""
+"""Tests of online requests whose content crashes workers, and of requests running beside them."""
 
 from __future__ import annotations
 
@@ -12,32 +12,38 @@
 from mountstand.quarantine.suspects import CrashSuspects
 from mountstand.serving.configuration import RequestKind, Route
 from mountstand.serving.worker_protocol import Call
-from tests.serving.test_forwarder import ONCE, PLAIN_STREAM, REPEATABLE, RESUMABLE, ForwarderHarness
+from tests.serving.test_forwarder import (
+    AT_MOST_ONCE,
+    PLAIN_STREAM,
+    REPEATABLE,
+    RESUMABLE,
+    ForwarderHarness,
+)
 from tests.stand_ins.crashing import CrashableWorker
 from tests.stand_ins.harness import HOST, eventually, route, run
 from tests.stand_ins.worker import Answer, Received, StandInWorker, event, silence, stream, whole
 
-ANY_TRY = Call("r", HOST, "POST", "/x", (), b"body")
-"""What ``Front.send_request`` sends, whatever its id."""
+SENT_CALL = Call("r", HOST, "POST", "/x", (), b"body")
+"""The request that ``ForwarderHarness.send_request`` sends; its id is not part of the content."""
 
-ROUTES = (ONCE, REPEATABLE, PLAIN_STREAM, RESUMABLE)
+ROUTES = (AT_MOST_ONCE, REPEATABLE, PLAIN_STREAM, RESUMABLE)
 
 
-def block(harness: ForwarderHarness) -> None:
-    """Let three workers have ended under the request that ``Front.send_request`` sends."""
+def quarantine_content(harness: ForwarderHarness) -> None:
+    """Quarantine the content of ``SENT_CALL`` by recording three worker crashes."""
     now_s = asyncio.get_running_loop().time()
     for key in (1, 2, 3):
         at_s = now_s - 3 + key
         harness.fleet.quarantine._sharing.note_worker_crash(
-            key, at_s, {ANY_TRY.content_key: at_s}, now_s
+            key, at_s, {SENT_CALL.content_key: at_s}, now_s
         )
 
 
-class CrashingFront(ForwarderHarness):
-    """A front whose workers end as they run the request."""
+class CrashingHarness(ForwarderHarness):
+    """A harness whose workers crash when they run a request."""
 
-    def __init__(self, used: Route, *scripts: tuple[Answer, ...]) -> None:
-        super().__init__(used, *scripts)
+    def __init__(self, tested_route: Route, *scripts: tuple[Answer, ...]) -> None:
+        super().__init__(tested_route, *scripts)
         self.crash = True
         workers: list[StandInWorker] = [
             CrashableWorker(f"w{n}", self._crashes, *script) for n, script in enumerate(scripts)
@@ -49,17 +55,17 @@
         return self.crash
 
 
-class HeldBack(TestCase):
-    def with_front(self, used: Route, body: Any, *scripts: tuple[Answer, ...]) -> None:
+class QuarantinedContent(TestCase):
+    def with_harness(self, tested_route: Route, body: Any, *scripts: tuple[Answer, ...]) -> None:
         async def scenario() -> None:
-            async with ForwarderHarness(used, *(scripts or ((whole(),),))) as harness:
+            async with ForwarderHarness(tested_route, *(scripts or ((whole(),),))) as harness:
                 await body(harness)
 
         run(scenario())
 
-    def test_refused_at_once_with_the_time_of_its_next_trial(self) -> None:
+    def test_rejected_at_once_with_retry_after_the_next_trial(self) -> None:
         async def body(harness: ForwarderHarness) -> None:
-            block(harness)
+            quarantine_content(harness)
             status, _, complete = await harness.send_request("r1")
             self.assertEqual((503, True), (status, complete))
             self.assertRegex(harness.last_head.lower(), r"retry-after: (600|59\d\.)")
@@ -67,116 +73,120 @@
             (line,) = harness.fleet.log.lines("request_held_back")
             self.assertEqual(("r1", 0), (line["request"], line["runs"]))
 
-        for used in ROUTES:
-            self.with_front(used, body)
+        for tested_route in ROUTES:
+            self.with_harness(tested_route, body)
 
-    def test_other_contents_are_served(self) -> None:
+    def test_other_contents_are_not_blocked(self) -> None:
         async def body(harness: ForwarderHarness) -> None:
-            block(harness)
+            quarantine_content(harness)
             other = Call("r", HOST, "POST", "/x", (), b"else")
             self.assertEqual(0.0, harness.fleet.quarantine.blocked_for_s(other))
             other_caller = Call("r", HOST, "POST", "/x", (), b"body", tenant="t")
             self.assertEqual(0.0, harness.fleet.quarantine.blocked_for_s(other_caller))
 
-        self.with_front(REPEATABLE, body)
+        self.with_harness(REPEATABLE, body)
 
-    def test_one_that_waits_for_a_worker_is_refused_as_it_becomes_blocked(self) -> None:
+    def test_queued_request_is_rejected_when_its_content_becomes_blocked(self) -> None:
         async def body(harness: ForwarderHarness) -> None:
             harness.fleet.quarantine.on_blocked = harness.fleet.queue.reject
             worker = harness.fleet.directory.workers["w0"]
             worker.in_flight = 4
-            asking = asyncio.create_task(harness.send_request("r1"))
-            await eventually(lambda: harness.fleet.queue.has_waiting_requests("llm"), "it waits")
-            block(harness)
-            status, _, _ = await asyncio.wait_for(asking, 0.3)
+            request_task = asyncio.create_task(harness.send_request("r1"))
+            await eventually(
+                lambda: harness.fleet.queue.has_waiting_requests("llm"), "request queued"
+            )
+            quarantine_content(harness)
+            status, _, _ = await asyncio.wait_for(request_task, 0.3)
             self.assertEqual(503, status)
             self.assertEqual(4, worker.in_flight)
             self.assertEqual([], harness.fleet.received())
 
-        self.with_front(route(RequestKind.REPEATABLE, target_latency_s=2.0), body)
+        self.with_harness(route(RequestKind.REPEATABLE, target_latency_s=2.0), body)
 
-    def test_one_that_ran_before_it_was_blocked_is_not_called_refused(self) -> None:
+    def test_request_that_ran_before_its_block_gets_502_rather_than_a_rejection(self) -> None:
         async def body(harness: ForwarderHarness) -> None:
-            asking = asyncio.create_task(harness.send_request("r1"))
-            await eventually(lambda: len(harness.fleet.received()) == 1, "it runs")
-            block(harness)
+            request_task = asyncio.create_task(harness.send_request("r1"))
+            await eventually(
+                lambda: len(harness.fleet.received()) == 1, "request received by a worker"
+            )
+            quarantine_content(harness)
             for writer in list(harness.workers[0]._writers | harness.workers[1]._writers):
                 writer.transport.abort()
-            status, _, _ = await asking
+            status, _, _ = await request_task
             self.assertEqual(502, status)
             self.assertEqual(1, len(harness.fleet.received()))
 
-        self.with_front(REPEATABLE, body, (silence,), (silence,))
+        self.with_harness(REPEATABLE, body, (silence,), (silence,))
 
-    def test_a_slot_that_it_was_given_is_free_again(self) -> None:
+    def test_rejected_request_frees_its_slot(self) -> None:
         async def body(harness: ForwarderHarness) -> None:
-            block(harness)
+            quarantine_content(harness)
             worker = harness.fleet.directory.workers["w0"]
             for _ in range(5):
                 await harness.send_request("r1")
             self.assertEqual(0, worker.in_flight)
 
-        self.with_front(ONCE, body)
+        self.with_harness(AT_MOST_ONCE, body)
 
 
-class Crashes(TestCase):
-    def test_the_end_of_a_worker_is_seen_on_each_kind_of_route(self) -> None:
-        async def scenario(used: Route) -> None:
-            async with CrashingFront(used, (whole(),), (whole(),), (whole(),)) as harness:
+class CrashDetection(TestCase):
+    def test_worker_crash_is_detected_on_each_kind_of_route(self) -> None:
+        async def scenario(tested_route: Route) -> None:
+            async with CrashingHarness(tested_route, (whole(),), (whole(),), (whole(),)) as harness:
                 suspects = harness.fleet.quarantine.suspects
                 await harness.send_request("r1")
-                expected = min(used.max_attempts, 3) if used.repeatable else 1
-                key = ANY_TRY.content_key
+                expected = min(tested_route.max_attempts, 3) if tested_route.repeatable else 1
+                key = SENT_CALL.content_key
                 await eventually(
                     lambda: (
                         key in suspects.by_content
                         and len(suspects.by_content[key].crash_by_worker) == expected
                     ),
-                    f"{expected} ends on {used.name}",
+                    f"{expected} crashes on {tested_route.name}",
                 )
-                blocked = harness.fleet.quarantine.blocked_for_s(ANY_TRY) > 0
-                self.assertEqual(expected >= 3, blocked, used.name)
+                blocked = harness.fleet.quarantine.blocked_for_s(SENT_CALL) > 0
+                self.assertEqual(expected >= 3, blocked, tested_route.name)
 
-        for used in ROUTES:
-            run(scenario(used))
+        for tested_route in ROUTES:
+            run(scenario(tested_route))
 
-    def test_a_stream_beside_one_goes_on_elsewhere_and_is_cleared(self) -> None:
+    def test_stream_resumed_after_a_worker_crash_is_no_longer_suspect(self) -> None:
         async def scenario() -> None:
             scripts = ((stream(8, gap_s=0.05),),) * 2
-            async with CrashingFront(RESUMABLE, *scripts) as harness:
+            async with CrashingHarness(RESUMABLE, *scripts) as harness:
                 harness.crash = False
-                asking = asyncio.create_task(harness.send_request("r1"))
-                await eventually(lambda: harness.fleet.received(), "it runs")
+                request_task = asyncio.create_task(harness.send_request("r1"))
+                await eventually(lambda: harness.fleet.received(), "request received by a worker")
                 first = next(worker for worker in harness.workers if worker.received)
                 await asyncio.sleep(0.12)
                 await first.stop()
-                status, got, complete = await asking
+                status, body, complete = await request_task
                 self.assertEqual((200, True), (status, complete))
-                self.assertEqual(b"".join(event(n) for n in range(1, 9)), got)
-                suspect = harness.fleet.quarantine.suspects.by_content.get(ANY_TRY.content_key)
+                self.assertEqual(b"".join(event(n) for n in range(1, 9)), body)
+                suspect = harness.fleet.quarantine.suspects.by_content.get(SENT_CALL.content_key)
                 self.assertEqual({}, suspect.crash_by_worker if suspect else {})
 
         run(scenario())
 
-    def test_a_worker_that_ended_behind_a_silent_connection_is_seen(self) -> None:
-        """Its machine refuses new connections, while the old one never says anything."""
+    def test_worker_crash_behind_a_silent_connection_is_detected(self) -> None:
+        """The machine refuses new connections while the old connection stays open and silent."""
 
         async def scenario() -> None:
             async with ForwarderHarness(REPEATABLE, (silence,), (silence,)) as harness:
                 harness.deadline_s = 2.5
-                asking = asyncio.create_task(harness.send_request("r1"))
-                await eventually(lambda: harness.fleet.received(), "it runs")
+                request_task = asyncio.create_task(harness.send_request("r1"))
+                await eventually(lambda: harness.fleet.received(), "request received by a worker")
                 first = next(worker for worker in harness.workers if worker.received)
                 assert first._server is not None
                 first._server.close()
-                await eventually(lambda: harness.fleet.quarantine.suspects, "its end is seen")
-                asking.cancel()
-                suspect = harness.fleet.quarantine.suspects.by_content[ANY_TRY.content_key]
+                await eventually(lambda: harness.fleet.quarantine.suspects, "crash detected")
+                request_task.cancel()
+                suspect = harness.fleet.quarantine.suspects.by_content[SENT_CALL.content_key]
                 self.assertEqual(1, len(suspect.crash_by_worker))
 
         run(scenario())
 
-    def test_breaks_of_links_are_no_ends(self) -> None:
+    def test_broken_connections_are_not_worker_crashes(self) -> None:
         async def scenario() -> None:
             script = (stream(5, cut_after=1),)
             async with ForwarderHarness(RESUMABLE, script, script, script) as harness:
@@ -187,35 +197,38 @@
         run(scenario())
 
 
-class Separation(TestCase):
-    def test_two_strong_suspects_do_not_meet_at_a_worker(self) -> None:
+class SeparationOfSuspects(TestCase):
+    def test_two_strong_suspects_do_not_share_a_worker(self) -> None:
         async def scenario() -> None:
             async with ForwarderHarness(REPEATABLE, (whole(),), (whole(),)) as harness:
                 fleet = harness.fleet
                 other = Call("r", HOST, "POST", "/x", (), b"else")
                 now_s = asyncio.get_running_loop().time()
-                sent_at_s = {ANY_TRY.content_key: now_s, other.content_key: now_s}
+                sent_at_s = {SENT_CALL.content_key: now_s, other.content_key: now_s}
                 for worker_key in (1, 2):
                     fleet.quarantine._sharing.note_worker_crash(worker_key, now_s, sent_at_s, now_s)
-                kept = [
+                allowed_workers = [
                     worker
                     for worker in fleet.directory.workers.values()
                     if fleet.quarantine.allows(other, worker)
                 ]
-                for worker in kept:
-                    self.assertFalse(fleet.quarantine.allows(ANY_TRY, worker), "even if idle")
+                for worker in allowed_workers:
+                    self.assertFalse(
+                        fleet.quarantine.allows(SENT_CALL, worker),
+                        "a worker of another suspect is not allowed, even if it is idle",
+                    )
                     with fleet.quarantine.running(other, worker):
-                        self.assertFalse(fleet.quarantine.allows(ANY_TRY, worker))
+                        self.assertFalse(fleet.quarantine.allows(SENT_CALL, worker))
                         self.assertTrue(fleet.quarantine.allows(other, worker))
                 self.assertEqual(200, (await harness.send_request())[0])
-                names = [worker.record.worker_id for worker in kept]
-                self.assertTrue(len(kept) == 2 or fleet.received()[0] not in names)
+                names = [worker.record.worker_id for worker in allowed_workers]
+                self.assertTrue(len(allowed_workers) == 2 or fleet.received()[0] not in names)
 
         for _ in range(6):
             run(scenario())
 
-    def test_suspects_of_different_daemons_do_not_meet_either(self) -> None:
-        """An item was at three ends beside a crashing request that another daemon had sent."""
+    def test_suspects_of_different_daemons_do_not_share_a_worker(self) -> None:
+        """Otherwise a request could be blamed for a crash that another daemon's request caused."""
         workers = [f"w{n}" for n in range(6)]
         separations = []
         for _ in range(2):
@@ -233,8 +246,8 @@
             self.assertTrue(len(allowed) <= 1, (worker, allowed))
         self.assertTrue(any(separations[0].allows(7, worker, 100.3) for worker in workers))
 
-    def test_many_suspects_at_once_are_not_kept_from_the_workers(self) -> None:
-        """Workers that fail together, twice, make suspects of all that ran there."""
+    def test_many_suspects_at_once_may_use_all_workers(self) -> None:
+        """Two joint worker failures make suspects of all requests that ran there."""
         suspects = CrashSuspects()
         for content in range(30):
             for worker_key in (1, 2):
@@ -242,13 +255,15 @@
         separation = SuspectSeparation(suspects)
         self.assertTrue(all(separation.allows(content, "w1", 100.3) for content in range(30)))
 
-    def test_workers_are_kept_for_a_suspect_for_some_seconds_only(self) -> None:
+    def test_worker_reservations_for_suspects_expire_within_seconds(self) -> None:
         suspects = CrashSuspects()
         for content in (7, 8):
             for worker_key in (1, 2):
                 suspects.merge(content, {worker_key: WorkerCrash(100.0, 0.1)})
         separation = SuspectSeparation(suspects)
-        kept = [n for n in range(6) if separation.allows(7, f"w{n}", 101.0)]
-        self.assertTrue(len(kept) < 6, kept)
+        allowed_workers = [n for n in range(6) if separation.allows(7, f"w{n}", 101.0)]
+        self.assertTrue(len(allowed_workers) < 6, allowed_workers)
         self.assertTrue(all(separation.allows(7, f"w{n}", 111.0) for n in range(6)))
-        self.assertTrue(all(separation.allows(5, f"w{n}", 101.0) for n in range(6)), "no suspect")
+        self.assertTrue(
+            all(separation.allows(5, f"w{n}", 101.0) for n in range(6)), "not a suspect"
+        )
