--- a/mountstand/serving/__init__.py
+++ b/mountstand/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Online requests: routes, workers, the choice between them, and forwarding."""
+"""Online serving: routes, the worker directory, load balancing among workers, and forwarding."""
--- a/mountstand/serving/evacuation.py
+++ b/mountstand/serving/evacuation.py
@@ -1,7 +1,7 @@
-"""Which zones the operator has taken out of use, as the rows of the operator's table say.
+"""Zones that the operator has evacuated, as rows of the configuration table.
 
-A row stands for a zone while it is there. All daemons read it from the store's feed, or from each
-other while the store does not serve them, as they do the configuration.
+A zone is evacuated as long as its row exists. Daemons read these rows from the store's feed, like
+the configuration, and from each other while the store is unavailable.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 
 class ZoneEvacuations:
-    """The zones that are evacuated.
+    """Tracks the set of evacuated zones.
 
-    ``zone_of`` returns the zone that a row's key names, or ``None`` for a row about something
-    else. ``on_change`` is called with all zones that are evacuated, whenever these change.
+    ``zone_of`` returns the zone in a row's key, or ``None`` if the row is not an evacuation.
+    ``on_change`` is called with all evacuated zones whenever the set changes.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         self.zones: frozenset[str] = frozenset()
 
     def apply(self, change: TableChange) -> None:
-        """Take changed rows of the operator's table, or all of them."""
+        """Process changed rows of the configuration table, or all of its rows."""
         zones = set() if change.complete else set(self.zones)
         for row in change.rows:
             zone = self._zone_of(row.key.key)
--- a/mountstand/serving/evacuation_status.py
+++ b/mountstand/serving/evacuation_status.py
@@ -1,8 +1,9 @@
-"""Tells the operator how far an evacuation is, in a row of the store.
+"""Publishes the progress of zone evacuations to the operator, as rows in the store.
 
-One daemon writes for all: the one that is ranked first for the zone among those that run. Counts
-are the sums that daemons tell each other, so what a daemon that is cut off still has there is not
-in them. A row is written when its counts changed, and removed once the evacuation is taken back.
+One daemon writes for the whole fleet: the live daemon that ranks first for the zone. Counts
+are sums over the load digests of all daemons, so they lack the requests of a daemon that is
+partitioned from the writer. A row is written when its counts change, and removed when the operator
+ends the evacuation.
 """
 
 from __future__ import annotations
@@ -18,31 +19,31 @@
 from mountstand.store.rows import RowKey, RowStore, StoreError, Transaction
 from mountstand.telemetry.decisions import DecisionLog
 
-PERIOD_S = 1.0
-"""How often counts are looked at: operators wait for seconds until a zone is empty."""
+PUBLISH_INTERVAL_S = 1.0
+"""Short, since operators watch a zone become empty within seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class EvacuationProgress:
-    """What is left in a zone: workers, and requests and batch items in flight there."""
+    """Workers that a zone still has, and online requests and batch items in flight there."""
 
     workers: int
     requests: int
     items: int
 
     @property
-    def done(self) -> bool:
-        """Whether nothing runs there any more."""
+    def drained(self) -> bool:
+        """Whether no request or batch item is in flight in the zone; workers may remain."""
         return not (self.requests or self.items)
 
     def encode(self, zone: str) -> bytes:
-        """Return the row's value."""
-        state = "empty" if self.done else "emptying"
+        """Return the value of the status row."""
+        state = "empty" if self.drained else "emptying"
         return orjson.dumps({"zone": zone, "state": state, **asdict(self)})
 
 
-def progress_of(directory: WorkerDirectory, zone: str) -> EvacuationProgress:
-    """Return what is left in a zone, as far as daemons tell each other."""
+def measure_progress(directory: WorkerDirectory, zone: str) -> EvacuationProgress:
+    """Return the progress for a zone, from this daemon's load and its peers' digests."""
     workers = [worker for worker in directory.workers.values() if worker.record.zone == zone]
     return EvacuationProgress(
         len(workers),
@@ -52,9 +53,10 @@
 
 
 class EvacuationStatusPublisher:
-    """Keeps a row for each evacuated zone, as long as this daemon is the one to write it.
+    """Maintains the status row of each evacuated zone for which this daemon is the writer.
 
-    ``key_of`` returns where the row of a zone is; ``is_writer_for`` whether this daemon writes it.
+    ``row_key_for`` returns the key of a zone's row, and ``is_writer_for`` whether this daemon
+    writes it at present. A row is removed by the daemons that wrote it, as long as they run.
     """
 
     def __init__(
@@ -62,43 +64,46 @@
         store: RowStore,
         directory: WorkerDirectory,
         evacuations: ZoneEvacuations,
-        key_of: Callable[[str], RowKey],
+        row_key_for: Callable[[str], RowKey],
         is_writer_for: Callable[[str], bool],
         log: DecisionLog,
     ) -> None:
         self._store = store
         self._directory = directory
         self._evacuations = evacuations
-        self._key_of = key_of
-        self._writes_for = is_writer_for
+        self._row_key_for = row_key_for
+        self._is_writer_for = is_writer_for
         self._log = log
-        self._told: dict[str, EvacuationProgress] = {}
+        self._published_by_zone: dict[str, EvacuationProgress] = {}
 
     async def run(self) -> None:
-        """Tell what changed, until cancelled."""
+        """Publish changes once per interval, until cancelled."""
         while True:
-            await asyncio.sleep(PERIOD_S)
-            if self._told or self._evacuations.zones:
-                await self.tell(self._evacuations.zones)
-
-    async def tell(self, zones: Collection[str]) -> None:
-        """Write rows of zones whose counts changed, and remove those of zones that are back."""
-        for zone in [zone for zone in self._told if zone not in zones]:
-            if await self._commit(Transaction(removals=[self._key_of(zone)]), zone):
-                del self._told[zone]
+            await asyncio.sleep(PUBLISH_INTERVAL_S)
+            if self._published_by_zone or self._evacuations.zones:
+                await self.publish(self._evacuations.zones)
+
+    async def publish(self, zones: Collection[str]) -> None:
+        """Write the rows of evacuated ``zones`` whose counts changed.
+
+        Also removes the rows that this daemon wrote for zones that are no longer evacuated.
+        """
+        for zone in [zone for zone in self._published_by_zone if zone not in zones]:
+            if await self._commit(Transaction(removals=[self._row_key_for(zone)]), zone):
+                del self._published_by_zone[zone]
         for zone in zones:
-            progress = progress_of(self._directory, zone)
-            if progress == self._told.get(zone) or not self._writes_for(zone):
+            progress = measure_progress(self._directory, zone)
+            if progress == self._published_by_zone.get(zone) or not self._is_writer_for(zone):
                 continue
-            row = (self._key_of(zone), progress.encode(zone))
+            row = (self._row_key_for(zone), progress.encode(zone))
             if await self._commit(Transaction(puts=[row]), zone):
-                self._told[zone] = progress
+                self._published_by_zone[zone] = progress
                 self._log.event("evacuation_progress", zone=zone, **asdict(progress))
 
     async def _commit(self, transaction: Transaction, zone: str) -> bool:
         try:
             await self._store.commit(transaction)
-        except StoreError as problem:
-            self._log.event("evacuation_untold", zone=zone, cause=type(problem).__name__)
+        except StoreError as error:
+            self._log.event("evacuation_untold", zone=zone, cause=type(error).__name__)
             return False
         return True
--- a/mountstand/serving/feeds.py
+++ b/mountstand/serving/feeds.py
@@ -1,7 +1,8 @@
-"""Puts what the feeds tell of the configuration and of workers into force.
+"""Applies feed changes to the current configuration and the worker directory.
 
-A row that cannot be read is told and passed over: the last good configuration stays in force, and
-one strange row names no worker to use and does not hide the others.
+Invalid rows are logged. An invalid configuration row is ignored, so the last valid configuration
+stays in force. An invalid worker row removes its worker from the directory, and doesn't affect the
+others.
 """
 
 from __future__ import annotations
@@ -18,30 +19,34 @@
 from mountstand.telemetry.decisions import DecisionLog
 
 DECODE_ERRORS = (ValueError, KeyError, TypeError, AttributeError)
+"""Exceptions by which a decoder rejects an invalid row."""
 
 
 class ConfigurationSource(Protocol):
-    """Where the platform keeps what the operator configures, and its workers."""
+    """Names and formats of the platform's rows for configuration, workers and evacuations."""
 
     configuration_table: str
     configuration_key: str
     workers_table: str
 
     def decode_configuration(self, value: bytes) -> Configuration:
-        """Return the configuration that a row holds."""
+        """Return the configuration in a row's value. Raises one of ``DECODE_ERRORS``."""
 
     def decode_worker(self, row: StoredRow) -> WorkerRecord:
-        """Return the worker that a row describes. Raises what ``DECODE_ERRORS`` lists."""
+        """Return the worker that a row describes. Raises one of ``DECODE_ERRORS``."""
 
     def evacuated_zone(self, key: str) -> str | None:
-        """Return the zone that a row of the configuration's table evacuates, if any."""
+        """Return the zone that a row of the configuration table evacuates, or ``None``."""
 
     def evacuation_status_key(self, zone: str) -> RowKey:
-        """Return where the operator reads how far the evacuation of a zone is."""
+        """Return the key of the row that holds the evacuation status of a zone."""
 
 
 class ConfigurationState:
-    """The newest configuration; it never goes back to an older one."""
+    """Holds the newest valid configuration, and ignores rows of older versions.
+
+    ``on_change`` is called with each configuration that is put into force.
+    """
 
     def __init__(
         self,
@@ -56,7 +61,7 @@
         self.current: Configuration | None = None
 
     def apply(self, change: TableChange) -> None:
-        """Take changed rows of the operator's table."""
+        """Process changed rows of the configuration table."""
         for row in change.rows:
             is_newer = row.version > self._row_version
             if row.key.key == self._source.configuration_key and row.value and is_newer:
@@ -66,10 +71,8 @@
         self._row_version = row_version
         try:
             configuration = self._source.decode_configuration(value)
-        except DECODE_ERRORS as problem:
-            self._log.event(
-                "configuration_unreadable", row_version=row_version, cause=repr(problem)
-            )
+        except DECODE_ERRORS as error:
+            self._log.event("configuration_unreadable", row_version=row_version, cause=repr(error))
             return
         self.current = configuration
         self._on_change(configuration)
@@ -82,7 +85,7 @@
 
 
 class WorkerDirectorySync:
-    """Keeps a worker directory as the platform lists it."""
+    """Keeps the worker directory in step with the workers that the platform lists."""
 
     def __init__(
         self, source: ConfigurationSource, directory: WorkerDirectory, log: DecisionLog
@@ -92,7 +95,7 @@
         self._log = log
 
     def apply(self, change: TableChange) -> None:
-        """Take changed rows of the workers' table, or all of them."""
+        """Process changed rows of the workers table, or all of its rows."""
         now_s = asyncio.get_running_loop().time()
         if change.complete:
             decoded = [self._decode(row) for row in change.rows]
@@ -120,8 +123,8 @@
     def _decode(self, row: StoredRow) -> WorkerRecord | None:
         try:
             return self._source.decode_worker(row)
-        except DECODE_ERRORS as problem:
+        except DECODE_ERRORS as error:
             self._log.event(
-                "worker_unreadable", worker=row.key.key, version=row.version, cause=repr(problem)
+                "worker_unreadable", worker=row.key.key, version=row.version, cause=repr(error)
             )
             return None
--- a/mountstand/serving/load_counts.py
+++ b/mountstand/serving/load_counts.py
@@ -1,4 +1,8 @@
-"""Counts that daemons tell each other of workers and services, their sums, and their digest."""
+"""Load counts per worker and service, and their conversion to and from load digests.
+
+Daemons exchange these counts as :class:`mountstand.wire.gossip.LoadDigest` messages; see
+:mod:`mountstand.serving.load_sharing`.
+"""
 
 from __future__ import annotations
 
@@ -8,147 +12,164 @@
 from mountstand.wire.gossip import LoadDigest, Scope
 
 TOKENS_PER_BLOCK = 64
-"""Unread tokens are told in blocks of so many, so that most fit a byte; a block is read in about a
-millisecond."""
+"""Prompt tokens per block. Digests count prefill work in blocks, so that most counts fit a byte."""
+
+MAX_PREFILL_BLOCKS = 1_000_000
+"""Limit on the pending prefill blocks accepted for one worker; more than any worker can hold."""
+
+QUARTERS_PER_OUTCOME = 4
+"""Resolution of the decayed outcome counts in digests, which hold integers."""
+
+MAX_OUTCOME_QUARTERS = 65_535
+"""Limit on an outcome count in a digest, which fits 16 bits."""
 
-MOST_BLOCKS = 1_000_000
-"""Unread blocks of one worker that a digest may claim; more than any worker can hold."""
+MAX_DIGEST_ENTRIES = 1000
+"""Limit on the workers and services in one digest, which must fit a datagram.
 
-QUARTERS = 4
-MOST_QUARTERS = 65_535
-MOST_WORKERS = 1000
-"""Workers named in one digest, which must fit a datagram. The idlest are left out."""
+Entries with the least outstanding work are left out. The limit also applies to the list of
+unreachable workers, of which the lowest keys are kept.
+"""
 
 
 @dataclass(slots=True)
 class LoadCounts:
-    """What daemons tell of one worker or one service.
+    """Load of one worker, or demand for one pool, from one or several daemons.
 
-    Of a worker what they have in flight there, the outcomes they saw, in quarters, and how many
-    blocks of tokens it has still to read; of a service how many requests or batch items of theirs
-    wait for it.
+    For a worker: online requests and batch items in flight, recent outcomes in quarters, and blocks
+    of prompt tokens whose prefill is pending (the field ``unread`` of a digest). For a pool, which
+    is a service or its workers in some regions: requests or batch items that wait for a slot and
+    can still meet their latency target (``waiting`` of a digest), or are late (``late``).
     """
 
     online: int = 0
     batch: int = 0
     succeeded: int = 0
     failed: int = 0
-    waiting: int = 0
-    late: int = 0
-    unread: int = 0
+    waiting_on_time: int = 0
+    waiting_late: int = 0
+    prefill_blocks: int = 0
 
     def add(self, other: LoadCounts) -> None:
-        """Add another's counts."""
+        """Add ``other`` to these counts in place."""
         self.online += other.online
         self.batch += other.batch
         self.succeeded += other.succeeded
         self.failed += other.failed
-        self.waiting += other.waiting
-        self.late += other.late
-        self.unread += other.unread
+        self.waiting_on_time += other.waiting_on_time
+        self.waiting_late += other.waiting_late
+        self.prefill_blocks += other.prefill_blocks
 
-    def take_off(self, other: LoadCounts) -> None:
-        """Take another's counts off."""
+    def subtract(self, other: LoadCounts) -> None:
+        """Subtract ``other`` from these counts in place."""
         self.online -= other.online
         self.batch -= other.batch
         self.succeeded -= other.succeeded
         self.failed -= other.failed
-        self.waiting -= other.waiting
-        self.late -= other.late
-        self.unread -= other.unread
+        self.waiting_on_time -= other.waiting_on_time
+        self.waiting_late -= other.waiting_late
+        self.prefill_blocks -= other.prefill_blocks
 
     def copy(self) -> LoadCounts:
-        """Return counts of the same value."""
+        """Return an independent copy."""
         return LoadCounts(
             self.online,
             self.batch,
             self.succeeded,
             self.failed,
-            self.waiting,
-            self.late,
-            self.unread,
+            self.waiting_on_time,
+            self.waiting_late,
+            self.prefill_blocks,
         )
 
     @property
-    def items(self) -> int:
-        """How many requests and items it is about."""
-        return self.online + self.batch + self.waiting + self.late
+    def outstanding(self) -> int:
+        """Requests and batch items that are in flight or wait for a slot."""
+        return self.online + self.batch + self.waiting_on_time + self.waiting_late
 
     @property
     def empty(self) -> bool:
-        """Whether there is nothing to tell."""
-        return not (self.items or self.succeeded or self.failed)
+        """Whether a digest can omit these counts.
+
+        Pending prefill needs no check, since it only exists for requests in flight.
+        """
+        return not (self.outstanding or self.succeeded or self.failed)
 
 
 CountsByKey = dict[int, LoadCounts]
+"""Counts by ``Worker.key`` or :func:`mountstand.serving.slot_demand.service_key`."""
 
 
-def has_items(counts_by_key: CountsByKey) -> bool:
-    """Return whether requests or items are in flight or wait."""
-    return any(counts.items for counts in counts_by_key.values())
+def has_outstanding_work(counts_by_key: CountsByKey) -> bool:
+    """Return whether any request or batch item is in flight or waits for a slot."""
+    return any(counts.outstanding for counts in counts_by_key.values())
 
 
-def counts_in(digest: LoadDigest) -> CountsByKey:
-    """Return what a peer's digest tells; lists that it leaves out are zero."""
-    none = (0,) * len(digest.keys)
+def counts_from_digest(digest: LoadDigest) -> CountsByKey:
+    """Return the counts in a peer's digest; a list that the digest omits counts as zeros."""
+    zeros = (0,) * len(digest.keys)
     counts = zip(
         digest.keys,
         digest.online,
         digest.batch,
-        digest.succeeded or none,
-        digest.failed or none,
-        digest.waiting or none,
-        digest.late or none,
-        _bounded(digest.unread) or none,
+        digest.succeeded or zeros,
+        digest.failed or zeros,
+        digest.waiting or zeros,
+        digest.late or zeros,
+        _clamp_prefill_blocks(digest.unread) or zeros,
         strict=False,
     )
     return {key: LoadCounts(*values) for key, *values in counts}
 
 
-def total_of(parts: Iterable[CountsByKey]) -> CountsByKey:
-    """Return the sums by key, in new counts."""
+def sum_counts(parts: Iterable[CountsByKey]) -> CountsByKey:
+    """Return the sum of all ``parts`` by key, without changing them."""
     total: CountsByKey = {}
     for counts_by_key in parts:
         for key, counts in counts_by_key.items():
-            known = total.get(key)
-            if known is None:
+            sum_so_far = total.get(key)
+            if sum_so_far is None:
                 total[key] = counts.copy()
             else:
-                known.add(counts)
+                sum_so_far.add(counts)
     return total
 
 
-def digest_of(scope: Scope, counts_by_key: CountsByKey, unreachable: tuple[int, ...]) -> LoadDigest:
-    """Return the digest that tells these counts, of the busiest workers if there are too many."""
-    told = list(counts_by_key.items())
-    if len(told) > MOST_WORKERS:
-        told.sort(key=lambda item: -item[1].items)
-        told = told[:MOST_WORKERS]
+def build_digest(
+    scope: Scope, counts_by_key: CountsByKey, unreachable: tuple[int, ...]
+) -> LoadDigest:
+    """Return a digest of these counts.
+
+    Keeps the entries with the most outstanding work if there are more than ``MAX_DIGEST_ENTRIES``.
+    """
+    entries = list(counts_by_key.items())
+    if len(entries) > MAX_DIGEST_ENTRIES:
+        entries.sort(key=lambda entry: -entry[1].outstanding)
+        entries = entries[:MAX_DIGEST_ENTRIES]
     return LoadDigest(
-        tuple(key for key, _ in told),
-        tuple(counts.online for _, counts in told),
-        tuple(counts.batch for _, counts in told),
-        _unless_zero(counts.succeeded for _, counts in told),
-        _unless_zero(counts.failed for _, counts in told),
-        unreachable[:MOST_WORKERS],
+        tuple(key for key, _ in entries),
+        tuple(counts.online for _, counts in entries),
+        tuple(counts.batch for _, counts in entries),
+        _omit_if_zero(counts.succeeded for _, counts in entries),
+        _omit_if_zero(counts.failed for _, counts in entries),
+        unreachable[:MAX_DIGEST_ENTRIES],
         scope,
-        _unless_zero(counts.waiting for _, counts in told),
-        _unless_zero(counts.late for _, counts in told),
-        _unless_zero(counts.unread for _, counts in told),
+        _omit_if_zero(counts.waiting_on_time for _, counts in entries),
+        _omit_if_zero(counts.waiting_late for _, counts in entries),
+        _omit_if_zero(counts.prefill_blocks for _, counts in entries),
     )
 
 
-def quarters(count: float) -> int:
-    """Return a count of outcomes as a digest tells it."""
-    return min(MOST_QUARTERS, int(count * QUARTERS))
+def to_quarters(count: float) -> int:
+    """Return a number of outcomes in quarters, rounded down and limited for the digest."""
+    return min(MAX_OUTCOME_QUARTERS, int(count * QUARTERS_PER_OUTCOME))
 
 
-def _bounded(blocks: Iterable[int]) -> tuple[int, ...]:
-    """Return a peer's unread blocks within bounds, so that no claim hides those of others."""
-    return tuple(min(MOST_BLOCKS, max(0, count)) for count in blocks)
+def _clamp_prefill_blocks(blocks: Iterable[int]) -> tuple[int, ...]:
+    """Limit a peer's prefill counts, so that one wrong digest cannot dominate the sum."""
+    return tuple(min(MAX_PREFILL_BLOCKS, max(0, count)) for count in blocks)
 
 
-def _unless_zero(values: Iterable[int]) -> tuple[int, ...]:
-    """Return a list of a digest, empty if it says nothing."""
-    listed = tuple(values)
-    return listed if any(listed) else ()
+def _omit_if_zero(values: Iterable[int]) -> tuple[int, ...]:
+    """Return the values for a digest: an empty list if all are zero."""
+    counts = tuple(values)
+    return counts if any(counts) else ()
--- a/mountstand/serving/load_sharing.py
+++ b/mountstand/serving/load_sharing.py
@@ -1,8 +1,9 @@
-"""What the other daemons have in flight at each worker, told by their digests.
+"""Shares load counts among daemons with periodic digests.
 
-Workers tell their load only with an answer's head. Between two of those, the sum of what all
-daemons have in flight is the best picture there is, and the only one that tells online work and
-batch work apart. Who tells whom is in :mod:`mountstand.serving.load_groups`.
+Each daemon tells its peers how many requests it has in flight at each worker. A worker reports its
+own load only in response headers, so between two responses the sum over all daemons is the best
+estimate of its load. It is also the only source that separates online requests from batch items.
+:mod:`mountstand.serving.load_groups` determines which daemon sends digests to which.
 """
 
 from __future__ import annotations
@@ -13,20 +14,20 @@
 from dataclasses import dataclass
 
 from mountstand.serving.load_counts import (
-    QUARTERS,
+    QUARTERS_PER_OUTCOME,
     TOKENS_PER_BLOCK,
     CountsByKey,
     LoadCounts,
-    counts_in,
-    digest_of,
-    has_items,
-    quarters,
-    total_of,
+    build_digest,
+    counts_from_digest,
+    has_outstanding_work,
+    sum_counts,
+    to_quarters,
 )
 from mountstand.serving.load_groups import (
     LoadGroup,
     Peer,
-    group_of,
+    assign_group,
     peers_outside_zones,
     serving_daemons,
 )
@@ -36,119 +37,136 @@
 from mountstand.serving.workers import WorkerDirectory
 from mountstand.wire.gossip import LoadDigest, Scope
 
-DIRECT_PERIOD_S = 0.03
-"""Period of a small fleet, where all tell all. 0.1 s cost 0.014 of worth
-(docs/design/deciding.md)."""
+FULL_MESH_PERIOD_S = 0.03
+"""Digest period of a small fleet, where every daemon sends to every other one."""
 
-GROUPED_PERIOD_S = 0.08
-DIGESTS_PER_S = 200.0
-"""Shortest period where heads add up digests, and how many a head sends at most. Word takes three
-digests there at worst: with 100 a second the quiet day of 63 daemons earned 0.754, with 200 0.848
-(docs/design/deciding.md)."""
+MIN_HIERARCHICAL_PERIOD_S = 0.08
+"""Shortest digest period of a fleet whose heads have members."""
 
-REFRESH_S = 0.5
-"""An unchanged digest is sent again after this time, or after a period if that is longer."""
+MAX_HEAD_DIGESTS_PER_S = 200.0
+"""Target for the digests that one head sends, from which the period of a large fleet follows."""
 
-EXPIRY_S = 1.5
-EXPIRY_PERIODS = 9
-"""A daemon that sent none for so long is taken to have nothing in flight: three digests that got
-lost, and more where periods are long."""
+DIGEST_REFRESH_S = 0.5
+"""An unchanged digest is sent again after this time, or after one period if that is longer."""
 
-UNREACHABLE_TOLD_S = 0.3
-"""How long a worker that accepted no connection is told as unreachable: peers hear it in one of
-the next digests, and a worker that answers again is not told any more."""
+DIGEST_EXPIRY_S = 1.5
+"""A peer that sent no digest for this time counts as having no load. Three times
+``DIGEST_REFRESH_S``, to tolerate lost datagrams."""
+
+DIGEST_EXPIRY_PERIODS = 9
+"""As ``DIGEST_EXPIRY_S``, in digest periods; the longer of the two times applies."""
+
+UNREACHABLE_REPORT_S = 0.3
+"""How long digests report a worker as unreachable after a failed connection attempt.
+
+It covers several digests, in case one is lost, and is short so that a worker that accepts
+connections again is soon no longer reported.
+"""
 
 
 class DigestLink(ABC):
-    """How digests reach other daemons, and which daemons there are."""
+    """Transport of digests, and source of the membership list."""
 
     __slots__ = ()
 
     @abstractmethod
     def peers(self) -> list[Peer]:
-        """Return the daemons that are believed to run."""
+        """Return the daemons on the membership list that are alive, with or without this one."""
 
     @abstractmethod
     def send(self, digest: LoadDigest, receivers: Iterable[str]) -> None:
-        """Send a digest to daemons."""
+        """Send a digest to the daemons with the ids ``receivers``, without waiting for delivery."""
+
 
+IDLE_MEMBER_UPDATE_PERIODS = 4
+"""Periods between fleet digests to an idle member while only heads serve callers.
 
-MEMBERS_EVERY = 4
-"""Members that have nothing in flight, since callers are told of heads alone, are told of the fleet
-in every fourth period only: enough to begin with, and to become a head at any moment."""
+An idle member needs fleet digests only to have a recent state if it becomes a head or gets a
+request.
+"""
+
+HOPS_DIRECT = 1
+"""Digest hops between daemons in a full mesh, or between heads."""
+
+HOPS_VIA_HEADS = 3
+"""Digest hops from a member to a member of another group: by way of the heads of both."""
 
-HOPS_ALONE = 1
-HOPS_GROUPED = 3
-HOPS_IDLE = HOPS_GROUPED + MEMBERS_EVERY - 1
-"""Digests that word of a request takes to reach a daemon: directly, or by two heads, or to a member
-that is told seldom."""
+HOPS_IDLE_MEMBER = HOPS_VIA_HEADS + IDLE_MEMBER_UPDATE_PERIODS - 1
+"""As ``HOPS_VIA_HEADS``, plus the periods in which an idle member gets no fleet digest."""
 
 
 @dataclass(slots=True)
-class _Heard:
-    """The last digest of one sender."""
+class _ReceivedDigest:
+    """The latest digest of one sender."""
 
-    at_s: float
+    received_s: float
     scope: Scope
     counts_by_key: CountsByKey
 
 
 class LoadSharing:
-    """Sends this daemon's digest, and adds up those of the others."""
+    """Sends this daemon's load to its peers, and applies theirs to the worker directory.
+
+    ``demand_by_work`` holds the requests and batch items that wait for slots. Call :meth:`tick`
+    every ``period_s`` seconds and :meth:`handle` for each digest received.
+    """
 
     def __init__(
         self,
         directory: WorkerDirectory,
-        own: Peer,
+        own_peer: Peer,
         link: DigestLink,
         demand_by_work: Mapping[WorkKind, SlotDemand] | None = None,
     ) -> None:
         self._directory = directory
         self._demand_by_work = dict(demand_by_work or {})
-        self._own_peer = own
+        self._own_peer = own_peer
         self._link = link
         self._peers: frozenset[Peer] = frozenset()
-        self._group = group_of(own, ())
+        self._group = assign_group(own_peer, ())
         self._serving: frozenset[str] = frozenset()
-        self._grouped_for: tuple[frozenset[Peer], int, frozenset[str]] | None = None
+        self._group_inputs: tuple[frozenset[Peer], int, frozenset[str]] | None = None
         self._ticks = 0
         self._evacuated_zones: frozenset[str] = frozenset()
-        self._heard_by_sender: dict[str, _Heard] = {}
-        self._unreachable_heard: dict[int, float] = {}
-        self._told_keys: set[int] = set()
-        self._dealt_for: dict[int, Worker] | None = None
-        self._own_told: CountsByKey = {}
-        self._sent_by_scope: dict[Scope, LoadDigest] = {}
-        self._unsent_s_by_scope: dict[Scope, float] = {}
+        self._digest_by_sender: dict[str, _ReceivedDigest] = {}
+        self._unreachable_report_s_by_key: dict[int, float] = {}
+        self._keys_with_peer_counts: set[int] = set()
+        self._slots_assigned_for: dict[int, Worker] | None = None
+        self._own_counts_sent: CountsByKey = {}
+        self._last_sent_by_scope: dict[Scope, LoadDigest] = {}
+        self._elapsed_s_by_scope: dict[Scope, float] = {}
 
     @property
     def period_s(self) -> float:
-        """How often digests are sent, given the size of the fleet."""
-        if not self._group.grouped:
-            return DIRECT_PERIOD_S
-        members = self._group.most_members
-        if self._heads_serve_alone:
-            members = math.ceil(members / MEMBERS_EVERY)
-        return max(GROUPED_PERIOD_S, (len(self._group.heads) - 1 + members) / DIGESTS_PER_S)
+        """Time to wait between two calls of :meth:`tick`; longer in a large fleet."""
+        if not self._group.hierarchical:
+            return FULL_MESH_PERIOD_S
+        member_count = self._group.max_average_members
+        if self._only_heads_serve:
+            member_count = math.ceil(member_count / IDLE_MEMBER_UPDATE_PERIODS)
+        return max(
+            MIN_HIERARCHICAL_PERIOD_S,
+            (len(self._group.heads) - 1 + member_count) / MAX_HEAD_DIGESTS_PER_S,
+        )
 
     @property
     def hops(self) -> int:
-        """How many digests word of a request takes to get here."""
-        if not self._group.grouped:
-            return HOPS_ALONE
-        if self._heads_serve_alone and self._is_head:
-            return HOPS_ALONE
-        idle = self._heads_serve_alone and not has_items(self._own_told)
-        return HOPS_IDLE if idle else HOPS_GROUPED
+        """Most digest hops, of one period each, before this daemon knows of another's request."""
+        if not self._group.hierarchical:
+            return HOPS_DIRECT
+        if self._only_heads_serve and self._is_head:
+            return HOPS_DIRECT
+        idle = self._only_heads_serve and not has_outstanding_work(self._own_counts_sent)
+        return HOPS_IDLE_MEMBER if idle else HOPS_VIA_HEADS
 
     @property
     def serving(self) -> frozenset[str]:
-        """The daemons that callers are told of, as this one believes."""
+        """Ids of the daemons that callers are referred to."""
         return self._serving
 
     @property
-    def _heads_serve_alone(self) -> bool:
-        """Whether all daemons that callers are told of are heads."""
+    def _only_heads_serve(self) -> bool:
+        """Whether callers are referred to heads alone."""
         return self._serving <= self._group.heads
 
     @property
@@ -157,67 +175,71 @@
 
     @property
     def group(self) -> LoadGroup:
-        """The place of this daemon among the groups."""
+        """The group of this daemon."""
         return self._group
 
     def tick(self, now_s: float) -> None:
-        """Send what changed, and forget daemons that fell silent."""
-        self._regroup()
-        self._deal_slots()
+        """Send digests that are due, and drop the digests of peers that stopped sending."""
+        self._update_groups()
+        self._assign_slots()
         self._expire(now_s)
         self._directory.chooser.peer_load_age_s = self.hops * self.period_s / 2
-        own = self._own_counts(now_s)
-        unreachable = self._unreachable(now_s)
+        own_counts = self._own_counts(now_s)
+        unreachable = self._unreachable_keys_to_report(now_s)
         if self._is_head:
-            self._tick_as_head(own, unreachable)
+            self._send_as_head(own_counts, unreachable)
         else:
-            self._send(Scope.DAEMON, own, unreachable, (self._group.head,))
-            self._own_told = own
-            self._take_over(self._peers_by_head())
+            self._send(Scope.DAEMON, own_counts, unreachable, (self._group.head,))
+            self._own_counts_sent = own_counts
+            self._apply_peer_counts(self._peer_counts_from_head())
 
     def handle(self, sender: str, digest: LoadDigest, now_s: float) -> None:
-        """Take the digest of another daemon."""
-        by_key = counts_in(digest)
-        former = self._heard_by_sender.get(sender)
-        self._heard_by_sender[sender] = _Heard(now_s, digest.scope, by_key)
+        """Process a digest that was received from another daemon."""
+        counts_by_key = counts_from_digest(digest)
+        previous = self._digest_by_sender.get(sender)
+        self._digest_by_sender[sender] = _ReceivedDigest(now_s, digest.scope, counts_by_key)
         for key in digest.unreachable:
-            self._unreachable_heard[key] = now_s
+            self._unreachable_report_s_by_key[key] = now_s
         if digest.unreachable:
-            self._note_unreachable(set(digest.unreachable), now_s)
-        if not self._group.grouped:
-            self._take_over(total_of(self._heard_with(Scope.DAEMON, Scope.GROUP)))
-        elif self._is_head and former is not None and former.scope is digest.scope:
-            self._take_over_change(former.counts_by_key, by_key)
+            self._mark_unreachable(set(digest.unreachable), now_s)
+        if not self._group.hierarchical:
+            self._apply_peer_counts(sum_counts(self._counts_with_scope(Scope.DAEMON, Scope.GROUP)))
+        elif self._is_head and previous is not None and previous.scope is digest.scope:
+            self._apply_peer_change(previous.counts_by_key, counts_by_key)
 
     def set_evacuated_zones(self, zones: frozenset[str]) -> None:
-        """Let no daemon of these zones serve callers, as long as others can."""
+        """Refer callers to no daemon in these zones, unless there are no others."""
         self._evacuated_zones = zones
 
     # Sending
 
-    def _tick_as_head(self, own: CountsByKey, unreachable: tuple[int, ...]) -> None:
-        """Tell the other heads what the group has, and the members what the fleet has."""
-        members = total_of(self._heard_with(Scope.DAEMON))
-        heads = total_of(self._heard_with(Scope.GROUP))
-        group = total_of([own, members]) if members else own
-        self._send(Scope.GROUP, group, unreachable, self._group.other_heads)
-        receivers = self._members_to_tell()
+    def _send_as_head(self, own_counts: CountsByKey, unreachable: tuple[int, ...]) -> None:
+        """Send the sum of the group to the other heads, and the sum of the fleet to the members."""
+        member_counts = sum_counts(self._counts_with_scope(Scope.DAEMON))
+        head_counts = sum_counts(self._counts_with_scope(Scope.GROUP))
+        group_counts = sum_counts([own_counts, member_counts]) if member_counts else own_counts
+        self._send(Scope.GROUP, group_counts, unreachable, self._group.other_heads)
+        receivers = self._next_fleet_receivers()
         if receivers:
-            fleet = total_of([group, heads])
-            # Receivers differ from period to period, so an unchanged digest may be new to some.
-            self._send(Scope.FLEET, fleet, unreachable, receivers, always=self._heads_serve_alone)
-        self._take_over(total_of([members, heads]) if members else heads)
+            fleet_counts = sum_counts([group_counts, head_counts])
+            # The receivers change from period to period, so some may lack an unchanged digest.
+            self._send(
+                Scope.FLEET, fleet_counts, unreachable, receivers, force=self._only_heads_serve
+            )
+        self._apply_peer_counts(
+            sum_counts([member_counts, head_counts]) if member_counts else head_counts
+        )
 
-    def _members_to_tell(self) -> tuple[str, ...]:
-        """Return the members that are told of the fleet in this period."""
+    def _next_fleet_receivers(self) -> tuple[str, ...]:
+        """Count a period, and return the members that get a fleet digest in it."""
         self._ticks += 1
-        if not self._heads_serve_alone or self._ticks % MEMBERS_EVERY == 0:
+        if not self._only_heads_serve or self._ticks % IDLE_MEMBER_UPDATE_PERIODS == 0:
             return self._group.members
         return tuple(
             member
             for member in self._group.members
-            if member in self._heard_by_sender
-            and has_items(self._heard_by_sender[member].counts_by_key)
+            if member in self._digest_by_sender
+            and has_outstanding_work(self._digest_by_sender[member].counts_by_key)
         )
 
     def _send(
@@ -227,21 +249,22 @@
         unreachable: tuple[int, ...],
         receivers: tuple[str, ...],
         *,
-        always: bool = False,
+        force: bool = False,
     ) -> None:
-        """Send a digest, unless ``always`` only if it changed or was not sent for some periods."""
-        digest = digest_of(scope, counts_by_key, unreachable)
-        unsent_s = self._unsent_s_by_scope.get(scope, 0.0) + self.period_s
-        unchanged = digest == self._sent_by_scope.get(scope)
-        if unchanged and unsent_s < REFRESH_S and not always:
-            self._unsent_s_by_scope[scope] = unsent_s
+        """Send a digest if it changed, is due for a refresh, or ``force`` is set."""
+        digest = build_digest(scope, counts_by_key, unreachable)
+        elapsed_s = self._elapsed_s_by_scope.get(scope, 0.0) + self.period_s
+        unchanged = digest == self._last_sent_by_scope.get(scope)
+        if unchanged and elapsed_s < DIGEST_REFRESH_S and not force:
+            self._elapsed_s_by_scope[scope] = elapsed_s
             return
-        self._unsent_s_by_scope[scope] = 0.0
-        self._sent_by_scope[scope] = digest
+        self._elapsed_s_by_scope[scope] = 0.0
+        self._last_sent_by_scope[scope] = digest
         if receivers:
             self._link.send(digest, receivers)
 
     def _own_counts(self, now_s: float) -> CountsByKey:
+        """Return this daemon's load at each worker and its demand for each pool."""
         counts_by_key: CountsByKey = {}
         for worker in self._directory.workers.values():
             outcomes = worker.health.own
@@ -251,134 +274,149 @@
             counts = LoadCounts(
                 worker.in_flight - worker.batch_in_flight,
                 worker.batch_in_flight,
-                quarters(outcomes.succeeded),
-                quarters(outcomes.failed),
-                unread=-(-worker.own_prefill_tokens // TOKENS_PER_BLOCK),
+                to_quarters(outcomes.succeeded),
+                to_quarters(outcomes.failed),
+                prefill_blocks=-(-worker.own_prefill_tokens // TOKENS_PER_BLOCK),
             )
             if not counts.empty:
                 counts_by_key[worker.key] = counts
         for work, demand in self._demand_by_work.items():
-            for service, waiting in demand.own_by_service.items():
-                counts = LoadCounts(waiting=waiting.on_time, late=waiting.late)
+            for pool, waiting in demand.own_by_service.items():
+                counts = LoadCounts(waiting_on_time=waiting.on_time, waiting_late=waiting.late)
                 if not counts.empty:
-                    counts_by_key[service_key(service, work)] = counts
+                    counts_by_key[service_key(pool, work)] = counts
         return counts_by_key
 
-    def _unreachable(self, now_s: float) -> tuple[int, ...]:
-        """Return the workers that are unreachable from here, for a head from its group too."""
-        since_s = now_s - UNREACHABLE_TOLD_S
+    def _unreachable_keys_to_report(self, now_s: float) -> tuple[int, ...]:
+        """Return the keys of workers to report as unreachable.
+
+        A head with members also relays the reports that it received.
+        """
+        oldest_s = now_s - UNREACHABLE_REPORT_S
         keys = {
             worker.key
             for worker in self._directory.workers.values()
-            if worker.last_connect_failure_s > since_s
+            if worker.last_connect_failure_s > oldest_s
         }
         if self._group.members:
-            keys.update(self._unreachable_heard)
+            keys.update(self._unreachable_report_s_by_key)
         return tuple(sorted(keys))
 
     # Groups
 
-    def _regroup(self) -> None:
+    def _update_groups(self) -> None:
+        """Recompute groups and serving daemons if membership, slots or evacuations changed."""
         peers = frozenset(self._link.peers())
         slots = self._directory.slots()
-        grouped_for = (peers, slots, self._evacuated_zones)
-        if grouped_for == self._grouped_for:
+        inputs = (peers, slots, self._evacuated_zones)
+        if inputs == self._group_inputs:
             return
-        self._grouped_for = grouped_for
+        self._group_inputs = inputs
         self._peers = peers
-        self._group = group_of(self._own_peer, peers)
+        self._group = assign_group(self._own_peer, peers)
         daemons = peers_outside_zones(peers | {self._own_peer}, self._evacuated_zones)
         self._serving = serving_daemons(daemons, slots)
-        self._dealt_for = None
+        self._slots_assigned_for = None
+
+    def _assign_slots(self) -> None:
+        """Assign worker slots to serving daemons if the daemons or workers changed.
 
-    def _deal_slots(self) -> None:
-        """Deal the slots of all workers out anew where daemons or workers changed."""
-        by_key = self._directory.by_key
-        if self._dealt_for is by_key:
+        The directory builds a new ``by_key`` whenever its workers change.
+        """
+        worker_by_key = self._directory.by_key
+        if self._slots_assigned_for is worker_by_key:
             return
-        self._dealt_for = by_key
-        serving = [p for p in self._peers | {self._own_peer} if p.member_id in self._serving]
-        dealt_by_service = {
-            service: partition_slots(serving, self._directory.active_workers(service))
+        self._slots_assigned_for = worker_by_key
+        serving_peers = [p for p in self._peers | {self._own_peer} if p.member_id in self._serving]
+        owners_by_service = {
+            service: partition_slots(serving_peers, self._directory.active_workers(service))
             for service in self._directory.services
         }
-        own = self._own_peer.member_id
-        self._directory.chooser.slot_owners_by_service = dealt_by_service
+        own_id = self._own_peer.member_id
+        self._directory.chooser.slot_owners_by_service = owners_by_service
         self._directory.chooser.own_slots = {
-            worker_id: by_owner[own]
-            for dealt in dealt_by_service.values()
-            for worker_id, by_owner in dealt.items()
-            if own in by_owner
+            worker_id: slots_by_owner[own_id]
+            for owners_by_worker_id in owners_by_service.values()
+            for worker_id, slots_by_owner in owners_by_worker_id.items()
+            if own_id in slots_by_owner
         }
 
     def _expire(self, now_s: float) -> None:
-        limit_s = max(EXPIRY_S, EXPIRY_PERIODS * self.period_s)
-        for sender, heard in list(self._heard_by_sender.items()):
-            if now_s - heard.at_s > limit_s:
-                del self._heard_by_sender[sender]
-        for key, at_s in list(self._unreachable_heard.items()):
-            if now_s - at_s > UNREACHABLE_TOLD_S:
-                del self._unreachable_heard[key]
+        limit_s = max(DIGEST_EXPIRY_S, DIGEST_EXPIRY_PERIODS * self.period_s)
+        for sender, digest in list(self._digest_by_sender.items()):
+            if now_s - digest.received_s > limit_s:
+                del self._digest_by_sender[sender]
+        for key, reported_s in list(self._unreachable_report_s_by_key.items()):
+            if now_s - reported_s > UNREACHABLE_REPORT_S:
+                del self._unreachable_report_s_by_key[key]
 
-    def _heard_with(self, *scopes: Scope) -> list[CountsByKey]:
-        return [h.counts_by_key for h in self._heard_by_sender.values() if h.scope in scopes]
+    def _counts_with_scope(self, *scopes: Scope) -> list[CountsByKey]:
+        return [d.counts_by_key for d in self._digest_by_sender.values() if d.scope in scopes]
 
-    # What peers have
+    # Peer counts
 
-    def _take_over(self, peers: CountsByKey) -> None:
-        """Tell each worker what all other daemons have there.
+    def _apply_peer_counts(self, peer_counts: CountsByKey) -> None:
+        """Set the peer counts of each worker and pool to those of all other daemons.
 
-        Most workers of a large fleet were not told of before and are not now.
+        Visits only workers with counts in ``peer_counts`` or in the last update, since most workers
+        of a large fleet have neither.
         """
-        none = LoadCounts()
+        zero = LoadCounts()
         worker_by_key = self._directory.by_key
-        for key in self._told_keys | peers.keys():
+        for key in self._keys_with_peer_counts | peer_counts.keys():
             worker = worker_by_key.get(key)
             if worker is None:
                 continue
-            counts = peers.get(key, none)
+            counts = peer_counts.get(key, zero)
             worker.peer_online = max(0, counts.online)
             worker.peer_batch = max(0, counts.batch)
-            worker.peer_prefill_tokens = max(0, counts.unread) * TOKENS_PER_BLOCK
-            worker.health.peers_succeeded = max(0, counts.succeeded) / QUARTERS
-            worker.health.peers_failed = max(0, counts.failed) / QUARTERS
-        self._told_keys = set(peers)
+            worker.peer_prefill_tokens = max(0, counts.prefill_blocks) * TOKENS_PER_BLOCK
+            worker.health.peers_succeeded = max(0, counts.succeeded) / QUARTERS_PER_OUTCOME
+            worker.health.peers_failed = max(0, counts.failed) / QUARTERS_PER_OUTCOME
+        self._keys_with_peer_counts = set(peer_counts)
         for work, demand in self._demand_by_work.items():
-            for service in self._directory.pool_names:
-                counts = peers.get(service_key(service, work), none)
-                waiting = WaitingCounts(max(0, counts.waiting), max(0, counts.late))
-                demand.peers_by_service[service] = waiting
+            for pool in self._directory.pool_names:
+                counts = peer_counts.get(service_key(pool, work), zero)
+                waiting = WaitingCounts(max(0, counts.waiting_on_time), max(0, counts.waiting_late))
+                demand.peers_by_service[pool] = waiting
 
-    def _take_over_change(self, former: CountsByKey, latest: CountsByKey) -> None:
-        """Add to each worker by how much one sender's counts changed, until the next sum of all.
+    def _apply_peer_change(self, previous: CountsByKey, latest: CountsByKey) -> None:
+        """Update the peer counts of workers by the change in one sender's digest.
 
-        Summing up all senders for each digest would cost a head too much.
+        This is cheaper for a head than summing up all senders on each digest; the next tick sets
+        the exact sums.
         """
-        none = LoadCounts()
+        zero = LoadCounts()
         worker_by_key = self._directory.by_key
-        self._told_keys |= latest.keys()
-        for key in former.keys() | latest.keys():
+        self._keys_with_peer_counts |= latest.keys()
+        for key in previous.keys() | latest.keys():
             worker = worker_by_key.get(key)
             if worker is None:
                 continue
-            before, after = former.get(key, none), latest.get(key, none)
+            before, after = previous.get(key, zero), latest.get(key, zero)
             worker.peer_online = max(0, worker.peer_online + after.online - before.online)
             worker.peer_batch = max(0, worker.peer_batch + after.batch - before.batch)
-            unread = worker.peer_prefill_tokens + (after.unread - before.unread) * TOKENS_PER_BLOCK
-            worker.peer_prefill_tokens = max(0, unread)
+            prefill_tokens = (
+                worker.peer_prefill_tokens
+                + (after.prefill_blocks - before.prefill_blocks) * TOKENS_PER_BLOCK
+            )
+            worker.peer_prefill_tokens = max(0, prefill_tokens)
 
-    def _peers_by_head(self) -> CountsByKey:
-        """Return the sum over the other daemons; the head's word on the fleet includes this one."""
-        fleet = self._heard_by_sender.get(self._group.head)
+    def _peer_counts_from_head(self) -> CountsByKey:
+        """Return the counts of all other daemons.
+
+        They are the counts in the head's fleet digest less those that this daemon last sent.
+        """
+        fleet = self._digest_by_sender.get(self._group.head)
         if fleet is None or fleet.scope is not Scope.FLEET:
             return {}
-        peers = total_of([fleet.counts_by_key])
-        for key, counts in self._own_told.items():
-            if key in peers:
-                peers[key].take_off(counts)
-        return peers
+        peer_counts = sum_counts([fleet.counts_by_key])
+        for key, counts in self._own_counts_sent.items():
+            if key in peer_counts:
+                peer_counts[key].subtract(counts)
+        return peer_counts
 
-    def _note_unreachable(self, keys: set[int], now_s: float) -> None:
+    def _mark_unreachable(self, keys: set[int], now_s: float) -> None:
         worker_by_key = self._directory.by_key
         for key in keys & worker_by_key.keys():
             worker_by_key[key].note_peer_reported_unreachable(now_s)
--- a/mountstand/serving/residency.py
+++ b/mountstand/serving/residency.py
@@ -1,8 +1,9 @@
-"""Where the requests of a route or tenant may be served: data residency.
+"""Data residency: the regions in which requests of a route or tenant may be served.
 
-A route and a tenant may each name regions; where both do, only regions that both name are left. The
-body of such a request goes to workers of these regions alone, and to no daemon of another region
-but the one that its caller connected to. A request for which no region is left is refused.
+A route and a tenant may each allow a set of regions; if both do, only regions in both sets are
+allowed. The body of a restricted request is sent only to workers in these regions, and to no daemon
+in another region except the one that the caller connected to. A request for which no region is left
+is refused.
 """
 
 from __future__ import annotations
@@ -11,14 +12,14 @@
 from dataclasses import dataclass, field
 
 Regions = frozenset[str]
-"""Regions that are allowed."""
+"""Names of the regions that are allowed."""
 
 ANYWHERE: Regions | None = None
-"""Stands for a request that may be served in all regions."""
+"""No restriction: the request may be served in any region."""
 
 
-def in_both(first: Regions | None, second: Regions | None) -> Regions | None:
-    """Return the regions that both allow."""
+def intersect_regions(first: Regions | None, second: Regions | None) -> Regions | None:
+    """Return the regions that both sets allow; ``ANYWHERE`` restricts nothing."""
     if first is None or second is None:
         return second if first is None else first
     return first & second
@@ -26,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Geography:
-    """Which region a zone lies in; a zone that is not known lies in none."""
+    """Maps zones to regions. An unknown zone is in no region."""
 
     region_by_zone: Mapping[str, str] = field(default_factory=dict)
 
     def region_of(self, zone: str) -> str:
-        """Return the region of a zone, empty where it is not known."""
+        """Return the region of a zone, or an empty string if the zone is unknown."""
         return self.region_by_zone.get(zone, "")
 
     def allows(self, regions: Regions | None, zone: str) -> bool:
-        """Return whether what is bound to ``regions`` may be in ``zone``."""
+        """Return whether data that is restricted to ``regions`` may be sent to ``zone``."""
         return regions is None or self.region_of(zone) in regions
--- a/tests/serving/test_evacuation.py
+++ b/tests/serving/test_evacuation.py
@@ -1,7 +1,7 @@
-"""A zone that the operator takes out of use: its workers, its daemons, and its return.
+"""Tests of zone evacuation: workers and daemons of the zone, its status row, and its end.
 
-The load: a zone with a share of all workers and daemons is to be emptied within seconds while the
-others take its work; what comes back may have started anew.
+An evacuated zone gets no new work while other zones have workers, so that it is empty within
+seconds. Its workers count as cold when the evacuation ends, since they may have restarted.
 """
 
 from __future__ import annotations
@@ -36,91 +36,92 @@
     return replace(base, **changes)  # type: ignore[arg-type]
 
 
-class Rows(TestCase):
-    """What the operator's rows say, as they come."""
-
+class EvacuationRows(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.told: list[frozenset[str]] = []
+        self.changes: list[frozenset[str]] = []
         self.log = RecordingLog()
-        self.evacuations = ZoneEvacuations(evacuated_zone, self.log, self.told.append)
-
-    def tell(self, version: int, zone: str, value: object = None, complete: bool = False) -> None:
-        change = [row("op", f"evacuate/{zone}", version, value)]
-        self.evacuations.apply(TableChange(change, complete))
-
-    def test_a_zone_is_evacuated_while_its_row_is_there(self) -> None:
-        self.tell(5, "a", {})
-        self.tell(6, "b", {})
-        self.tell(7, "a")
-        self.assertEqual([{"a"}, {"a", "b"}, {"b"}], self.told)
+        self.evacuations = ZoneEvacuations(evacuated_zone, self.log, self.changes.append)
+
+    def apply_row(
+        self, version: int, zone: str, value: object = None, complete: bool = False
+    ) -> None:
+        rows = [row("op", f"evacuate/{zone}", version, value)]
+        self.evacuations.apply(TableChange(rows, complete))
+
+    def test_a_zone_is_evacuated_while_its_row_exists(self) -> None:
+        self.apply_row(5, "a", {})
+        self.apply_row(6, "b", {})
+        self.apply_row(7, "a")
+        self.assertEqual([{"a"}, {"a", "b"}, {"b"}], self.changes)
         self.assertEqual(2, len(self.log.lines("zone_evacuated")))
         self.assertEqual(["a"], [line["zone"] for line in self.log.lines("zone_returned")])
 
-    def test_a_complete_list_without_the_row_takes_it_back(self) -> None:
-        self.tell(5, "a", {})
+    def test_a_complete_change_without_the_row_ends_the_evacuation(self) -> None:
+        self.apply_row(5, "a", {})
         self.evacuations.apply(TableChange([row("op", "config", 4, {})], True))
         self.assertEqual(frozenset(), self.evacuations.zones)
 
-    def test_older_word_changes_nothing_and_repeats_tell_nothing(self) -> None:
-        self.tell(5, "a", {})
-        self.tell(4, "a")
-        self.tell(5, "a", {})
-        self.assertEqual([{"a"}], self.told)
+    def test_older_rows_and_repeats_are_ignored(self) -> None:
+        self.apply_row(5, "a", {})
+        self.apply_row(4, "a")
+        self.apply_row(5, "a", {})
+        self.assertEqual([{"a"}], self.changes)
 
-    def test_a_row_with_strange_content_still_evacuates(self) -> None:
-        self.tell(5, "a", b"?")
+    def test_a_row_with_an_invalid_value_still_evacuates(self) -> None:
+        self.apply_row(5, "a", b"?")
         self.assertEqual({"a"}, self.evacuations.zones)
 
 
-class Workers(TestCase):
+class WorkersInEvacuatedZones(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.directory = WorkerDirectory("c", random.Random(3), withdrawn_grace_s=1.0)
         for number in range(6):
             self.directory.put(record(number, "ab"[number % 2]), 0.0)
 
-    def chosen(self, now_s: float) -> set[str]:
-        found = [self.directory.choose("llm", EMPTY_PROMPT, set(), now_s) for _ in range(60)]
-        return {worker.record.zone for worker in found if worker is not None}
+    def chosen_zones(self, now_s: float) -> set[str]:
+        """Return the zones of the workers in a sample of choices."""
+        choices = [self.directory.choose("llm", EMPTY_PROMPT, set(), now_s) for _ in range(60)]
+        return {worker.record.zone for worker in choices if worker is not None}
 
-    def test_an_evacuated_zone_gets_nothing_while_others_serve(self) -> None:
-        newly = self.directory.set_evacuated_zones({"b"}, 10.0)
-        self.assertEqual(3, len(newly))
-        self.assertEqual({"a"}, self.chosen(10.0))
+    def test_an_evacuated_zone_gets_no_work_while_others_serve(self) -> None:
+        withdrawn = self.directory.set_evacuated_zones({"b"}, 10.0)
+        self.assertEqual(3, len(withdrawn))
+        self.assertEqual({"a"}, self.chosen_zones(10.0))
         self.assertEqual(12, self.directory.slots())
-        self.assertEqual([], self.directory.set_evacuated_zones({"b"}, 11.0), "nothing new")
+        self.assertEqual([], self.directory.set_evacuated_zones({"b"}, 11.0), "already evacuated")
 
-    def test_a_worker_that_starts_in_an_evacuated_zone_gets_nothing(self) -> None:
+    def test_a_worker_that_starts_in_an_evacuated_zone_gets_no_work(self) -> None:
         self.directory.set_evacuated_zones({"b"}, 10.0)
         self.directory.put(record(7, "b"), 10.5)
-        self.assertEqual({"a"}, self.chosen(10.5))
+        self.assertEqual({"a"}, self.chosen_zones(10.5))
 
-    def test_where_no_other_worker_is_left_it_serves_for_a_moment_only(self) -> None:
+    def test_without_other_workers_a_zone_serves_for_the_grace_period(self) -> None:
         self.directory.set_evacuated_zones({"a", "b"}, 10.0)
-        self.assertEqual({"a", "b"}, self.chosen(10.9))
-        self.assertEqual(set(), self.chosen(11.1))
+        self.assertEqual({"a", "b"}, self.chosen_zones(10.9))
+        self.assertEqual(set(), self.chosen_zones(11.1))
 
-    def test_it_is_used_again_once_the_evacuation_is_taken_back(self) -> None:
+    def test_workers_are_used_again_after_the_evacuation(self) -> None:
         self.directory.set_evacuated_zones({"b"}, 10.0)
         self.directory.set_evacuated_zones(set(), 20.0)
-        self.assertEqual({"a", "b"}, self.chosen(20.0))
+        self.assertEqual({"a", "b"}, self.chosen_zones(20.0))
 
-    def test_workers_that_come_back_are_taken_as_cold(self) -> None:
+    def test_workers_count_as_cold_after_the_evacuation(self) -> None:
         limit_sharing = LimitSharing("d1")
         limit_sharing.update_members(["d1"], ["d1"])
-        sends = ColdStartShares(limit_sharing, ColdStartTolerance(), 0.0, lambda: True)
-        self.directory.set_cold_start_limits({"llm": ColdStartLimit(3.0, 2.0)}, sends, 0.0)
+        shares = ColdStartShares(limit_sharing, ColdStartTolerance(), 0.0, lambda: True)
+        self.directory.set_cold_start_limits({"llm": ColdStartLimit(3.0, 2.0)}, shares, 0.0)
         self.directory.set_evacuated_zones({"b"}, 10.0)
         self.directory.set_evacuated_zones(set(), 20.0)
         worker = self.directory.workers["w1"]
         self.assertEqual([True, True, False], [worker.admit_send(20.0) for _ in range(3)])
-        self.assertTrue(worker.admit_send(23.1), "warm again")
+        self.assertTrue(worker.admit_send(23.1), "no longer cold")
         self.assertTrue(all(self.directory.workers["w0"].admit_send(20.0) for _ in range(9)))
 
 
-class Daemons(TestCase):
-    def test_daemons_of_an_evacuated_zone_serve_no_callers(self) -> None:
+class DaemonsInEvacuatedZones(TestCase):
+    def test_daemons_in_an_evacuated_zone_serve_no_callers(self) -> None:
         directory = WorkerDirectory("a", random.Random(3))
         directory.put(record(0, "a"), 0.0)
         link = RecordingLink(*(Peer(f"d{n}", "ab"[n % 2]) for n in range(4)))
@@ -131,64 +132,62 @@
         sharing.tick(0.2)
         self.assertEqual({"d0", "d2"}, sharing.serving)
         owners = directory.chooser.slot_owners_by_service["llm"]["w0"]
-        self.assertEqual({"d0", "d2"}, set(owners), "slots are dealt to daemons that serve")
+        self.assertEqual({"d0", "d2"}, set(owners), "only serving daemons own slots")
         sharing.set_evacuated_zones(frozenset())
         sharing.tick(0.3)
         self.assertEqual({"d0", "d1", "d2", "d3"}, sharing.serving)
 
-    def test_they_do_where_there_are_no_others(self) -> None:
+    def test_daemons_in_an_evacuated_zone_serve_if_there_are_no_others(self) -> None:
         peers = [Peer("d0", "a"), Peer("d1", "a")]
         self.assertEqual(peers, peers_outside_zones(peers, {"a", "b"}))
         self.assertEqual(peers, peers_outside_zones(peers, {"b"}))
 
 
-class Status(TestCase):
-    """The operator reads how far an evacuation is."""
-
-    def test_counts_are_told_when_they_change_and_taken_back_in_the_end(self) -> None:
+class StatusRow(TestCase):
+    def test_row_follows_the_counts_and_is_removed_after_the_evacuation(self) -> None:
         async def scenario() -> None:
             store, log = MemoryRowStore(), RecordingLog()
             directory = WorkerDirectory("c", random.Random(3))
             for number in range(4):
                 directory.put(record(number, "ab"[number % 2]), 0.0)
             evacuations = ZoneEvacuations(evacuated_zone, log, lambda zones: None)
-            writes = True
+            is_writer = True
             status = EvacuationStatusPublisher(
                 store,
                 directory,
                 evacuations,
                 lambda zone: RowKey("status", "", f"evacuate/{zone}"),
-                lambda zone: writes,
+                lambda zone: is_writer,
                 log,
             )
 
-            async def row() -> dict[str, Any] | None:
+            async def read_status() -> dict[str, Any] | None:
                 page = await store.read("status", "", "", "", 5)
                 return orjson.loads(page.rows[0].value) if page.rows else None
 
             worker = directory.workers["w1"]
             worker.in_flight, worker.batch_in_flight, worker.peer_online = 3, 1, 4
-            await status.tell({"b"})
-            found = await row()
-            assert found is not None
-            counts = (found["state"], found["requests"], found["items"])
+            await status.publish({"b"})
+            value = await read_status()
+            assert value is not None
+            counts = (value["state"], value["requests"], value["items"])
             self.assertEqual(("emptying", 6, 1), counts)
             version = (await store.read("status", "", "", "", 5)).version
-            await status.tell({"b"})
+            await status.publish({"b"})
             self.assertEqual(version, (await store.read("status", "", "", "", 5)).version)
             store.fault = lambda call: "refuse"
             worker.in_flight = worker.batch_in_flight = worker.peer_online = 0
-            await status.tell({"b"})
+            await status.publish({"b"})
             self.assertTrue(log.lines("evacuation_untold"))
             store.fault = lambda call: ""
-            await status.tell({"b"})
-            found = await row()
-            assert found is not None
-            self.assertEqual("empty", found["state"])
-            await status.tell(set())
-            self.assertIsNone(await row())
-            writes = False
-            await status.tell({"b"})
-            self.assertIsNone(await row(), "another daemon writes")
+            await status.publish({"b"})
+            value = await read_status()
+            assert value is not None
+            self.assertEqual("empty", value["state"])
+            await status.publish(set())
+            self.assertIsNone(await read_status())
+            is_writer = False
+            await status.publish({"b"})
+            self.assertIsNone(await read_status(), "this daemon is not the writer")
 
         run(scenario())
--- a/tests/serving/test_feeds.py
+++ b/tests/serving/test_feeds.py
@@ -1,4 +1,4 @@
-"""Configuration and workers as the feeds tell them; rows that cannot be read are passed over."""
+"""Tests of feed processing: newer rows take effect, and invalid rows affect no others."""
 
 from __future__ import annotations
 
@@ -22,43 +22,43 @@
     return row("servers", worker_id, version, {**fields, **changes})
 
 
-class Configurations(TestCase):
-    def test_newest_row_wins_and_an_unreadable_one_changes_nothing(self) -> None:
-        seen: list[int] = []
+class ConfigurationFeed(TestCase):
+    def test_newest_row_wins_and_an_invalid_row_is_ignored(self) -> None:
+        applied: list[int] = []
         log = RecordingLog()
-        state = ConfigurationState(PlatformRows(), log, lambda found: seen.append(found.version))
+        state = ConfigurationState(PlatformRows(), log, lambda new: applied.append(new.version))
 
-        def tell(version: int, value: object) -> None:
+        def apply(version: int, value: object) -> None:
             state.apply(TableChange([row("op", "config", version, value)], False))
 
         empty = {"routes": [], "services": []}
-        tell(5, {"version": 50, **empty})
-        tell(4, {"version": 40, **empty})
-        tell(6, b"{")
-        tell(7, {"version": 70, "routes": [{}], "services": []})
-        tell(8, None)
-        self.assertEqual([50], seen)
+        apply(5, {"version": 50, **empty})
+        apply(4, {"version": 40, **empty})
+        apply(6, b"{")
+        apply(7, {"version": 70, "routes": [{}], "services": []})
+        apply(8, None)
+        self.assertEqual([50], applied)
         assert state.current is not None
         self.assertEqual(50, state.current.version)
         self.assertEqual(2, len(log.lines("configuration_unreadable")))
-        tell(9, {"version": 90, **empty})
-        self.assertEqual([50, 90], seen)
+        apply(9, {"version": 90, **empty})
+        self.assertEqual([50, 90], applied)
 
 
-class Workers(TestCase):
-    def test_strange_row_does_not_hide_the_others(self) -> None:
+class WorkersFeed(TestCase):
+    def test_an_invalid_worker_row_removes_only_its_worker(self) -> None:
         async def scenario() -> None:
             fleet = Fleet()
             state = WorkerDirectorySync(PlatformRows(), fleet.directory, fleet.log)
-            strange = row("servers", "w1", 2, {"service": "llm"})
-            state.apply(TableChange([worker_row("w0", 1), strange, worker_row("w2", 3)], True))
+            invalid = row("servers", "w1", 2, {"service": "llm"})
+            state.apply(TableChange([worker_row("w0", 1), invalid, worker_row("w2", 3)], True))
             self.assertEqual({"w0", "w2"}, set(fleet.directory.workers))
             state.apply(TableChange([row("servers", "w3", 4, b"?"), worker_row("w4", 5)], False))
             self.assertIn("w4", fleet.directory.workers)
             self.assertEqual(2, len(fleet.log.lines("worker_unreadable")))
             state.apply(TableChange([row("servers", "w0", 6, {"state": "ready"})], False))
-            staying = [w.record.worker_id for w in fleet.directory.active_workers("llm")]
-            self.assertNotIn("w0", staying, "its row names no worker any more")
-            self.assertIn("w2", staying)
+            active = [w.record.worker_id for w in fleet.directory.active_workers("llm")]
+            self.assertNotIn("w0", active, "its row is invalid now")
+            self.assertIn("w2", active)
 
         run(scenario())
