--- a/mountstand/serving_callers.py
+++ b/mountstand/serving_callers.py
@@ -1,4 +1,4 @@
-"""Which daemons callers are told to use, by what this one knows of the fleet."""
+"""Look-ups by callers of the daemons to connect to."""
 
 from __future__ import annotations
 
@@ -13,28 +13,33 @@
 
 
 class DaemonLocator:
-    """Answers look-ups of callers.
+    """Selects the daemons that callers are referred to, from this daemon's view of the fleet.
 
-    ``slots`` returns how many requests all workers run at once, ``evacuated_zones`` the zones that
-    are out of use, ``geography`` the regions of zones.
+    ``total_slots`` returns the number of slots of all workers, ``evacuated_zones`` the zones that
+    the operator has evacuated, and ``geography`` the region of each zone.
     """
 
     def __init__(
         self,
         registry: DaemonRegistry,
-        slots: Callable[[], int],
+        total_slots: Callable[[], int],
         evacuated_zones: Callable[[], frozenset[str]],
         geography: Callable[[], Geography],
         rng: random.Random,
     ) -> None:
         self._registry = registry
-        self._slots = slots
+        self._total_slots = total_slots
         self._evacuated_zones = evacuated_zones
         self._geography = geography
         self._rng = rng
 
     def addresses(self, configuration: Configuration, host: str, zone: str) -> list[str]:
-        """Return the addresses that a caller of ``host`` in ``zone`` may use."""
+        """Return the addresses for a caller in ``zone`` that sends requests to ``host``.
+
+        If routes of ``host`` or any tenant are restricted to regions, daemons in the caller's own
+        region are preferred, then those in regions that the routes allow. If there are none, all
+        serving daemons are returned.
+        """
         serving = self.serving()
         regions = configuration.regions_for_host(host)
         if regions is not None:
@@ -44,8 +49,11 @@
         return addresses_for(zone, serving, self._rng)
 
     def serving(self) -> list[DaemonRow]:
-        """Return as few of the sound daemons as carry the load."""
+        """Return the daemons to refer callers to: as many as the workers' slots need.
+
+        Daemons suspected of having failed are left out, unless most daemons are suspected.
+        """
         unsuspected = self._registry.unsuspected()
         peers = peers_outside_zones((row.as_peer() for row in unsuspected), self._evacuated_zones())
-        serving = serving_daemons(peers, self._slots())
+        serving = serving_daemons(peers, self._total_slots())
         return [row for row in unsuspected if row.name in serving]
--- a/mountstand/serving_feeds.py
+++ b/mountstand/serving_feeds.py
@@ -1,4 +1,7 @@
-"""What a serving process follows in the store: one feed per table that it needs."""
+"""The store tables that a serving process watches, each through a feed of changes.
+
+Feed calls are long polls: the store holds a call until rows change or its wait time has passed.
+"""
 
 from __future__ import annotations
 
@@ -17,32 +20,34 @@
 from mountstand.store.watch import TableChange, TableWatcher
 from mountstand.telemetry.decisions import DecisionLog
 
-JOB_FEED_CALLS_PER_S = 100.0
-"""Calls that follow the jobs, of all daemons together, while jobs change all the time: each
-result that is listed would otherwise answer a call of every daemon."""
-
-DAEMONS_PAUSE_S = 0.25
-"""When all start at once each daemon's row would answer a call of every other. Failure detection
-tells changes of a daemon's state sooner than its row."""
+MAX_JOB_FEED_CALLS_PER_S = 100.0
+"""Limit on the feed calls for the jobs table by all daemons together. Without it, each result that
+is added to a job would complete a pending call of every daemon."""
 
-LONGEST_PAUSE_SHARE = 1 / 3
-"""A daemon looks at the jobs this often at least, as a share of the time within which the end of a
-job must be obeyed; an owner that learns of an end so late has most of that time left."""
+DAEMONS_FEED_PAUSE_S = 0.25
+"""Pause between feed calls for the daemons table while it changes. Without it, each row written
+during a start of the whole fleet would complete a pending call of every daemon. Failure detection
+usually reports a change of a daemon's state before its row does."""
 
-WAIT_SHARE = 0.5
-"""How long feeds are held, as a share of the time without the store after which a daemon no longer
-counts as in touch. A feed that broke without a word is noticed a second after its wait, in time to
-be followed again before the daemon is bound by what it tells."""
+MAX_JOB_FEED_PAUSE_FRACTION = 1 / 3
+"""Limit on the pause between feed calls for the jobs table, as a fraction of the time within which
+the cancellation of a job must take effect. The rest is left for the owner to stop the job."""
 
+LONG_POLL_FRACTION = 0.5
+"""Duration of the long polls, as a fraction of ``contact_s``; for the jobs feed, of the smaller of
+``contact_s`` and ``cancel_s``. A silently lost connection is detected one second after the poll
+should have ended (the store client's ``FEED_SLACK_S``). The feed must resume before ``contact_s``
+has passed, since a daemon must not act on older data as if it were current."""
 
-SUSPECTS_WAIT_S = 10.0
-"""How long the call that follows contents that crash workers is held. Daemons tell each other at
-once, so this feed matters after a loss of all of them, or where they are cut off from each other;
-held so long it costs a twentieth of the calls that the other feeds make."""
+SUSPECTS_LONG_POLL_S = 10.0
+"""Duration of the long poll for the table of request contents suspected of crashing workers. It is
+longer than that of the other feeds, to save calls to the store: daemons report suspects to each
+other directly, so the table matters only after a restart of the whole fleet or while daemons cannot
+reach each other."""
 
 
-class KnownPeers(PeerAddresses):
-    """Daemons that run as far as is known, or else the seeds of the settings."""
+class KnownPeerAddresses(PeerAddresses):
+    """Control addresses of the running daemons, or of the configured seeds if none are known."""
 
     __slots__ = ("_registry", "settings")
 
@@ -51,7 +56,7 @@
         self._registry = registry
 
     def control_addresses(self) -> list[SocketAddress]:
-        """Return control addresses of other daemons."""
+        """Return the control addresses of other daemons."""
         own = self.settings.listeners.control
         seeds = [address for address in self.settings.seeds if address != own]
         return self._registry.control_addresses() or seeds
@@ -59,7 +64,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FeedTargets:
-    """Who is told of changes."""
+    """Callbacks for the changes of each table, and the registry, which receives the daemons table.
+
+    The registry also provides the addresses of peers.
+    """
 
     apply_configuration: Callable[[TableChange], None]
     apply_workers: Callable[[TableChange], None]
@@ -69,7 +77,10 @@
 
 
 class ServingFeeds:
-    """Watchers of the tables, and the exchange of all but the jobs with peers."""
+    """The watchers of all tables, and the exchange of tables with peers.
+
+    Daemons get rows of all tables except jobs from each other while the store is unreachable.
+    """
 
     def __init__(
         self,
@@ -79,57 +90,65 @@
         settings: ServingSettings,
         log: DecisionLog,
     ) -> None:
-        def shared(table: str, apply: Callable[[TableChange], None]) -> TableWatcher:
+        def peer_shared_watcher(table: str, apply: Callable[[TableChange], None]) -> TableWatcher:
+            # These tables have a single partition. Their rows are kept to be sent to peers.
             return TableWatcher(store, table, [""], apply, log, keep_rows=True)
 
-        self.configuration = shared(source.configuration_table, targets.apply_configuration)
-        self.workers = shared(source.workers_table, targets.apply_workers)
-        self.daemons = shared(DAEMONS, targets.registry.apply)
-        self.daemons.pause_s = DAEMONS_PAUSE_S
-        self.suspects = shared(SUSPECTS_TABLE, targets.apply_suspects)
-        self.suspects.wait_s = SUSPECTS_WAIT_S
+        self.configuration = peer_shared_watcher(
+            source.configuration_table, targets.apply_configuration
+        )
+        self.workers = peer_shared_watcher(source.workers_table, targets.apply_workers)
+        self.daemons = peer_shared_watcher(DAEMONS, targets.registry.apply)
+        self.daemons.pause_s = DAEMONS_FEED_PAUSE_S
+        self.suspects = peer_shared_watcher(SUSPECTS_TABLE, targets.apply_suspects)
+        self.suspects.wait_s = SUSPECTS_LONG_POLL_S
         self.jobs = TableWatcher(store, HEADS, partitions(), targets.apply_jobs, log)
-        self._known_peers = KnownPeers(settings, targets.registry)
-        self._hold(settings)
+        self._peer_addresses = KnownPeerAddresses(settings, targets.registry)
+        self._set_long_poll_durations(settings)
         self.peer_tables = PeerTables(
             [self.configuration, self.workers, self.daemons, self.suspects],
-            self._known_peers,
+            self._peer_addresses,
             log,
             random.Random(),
         )
 
     def apply_settings(self, settings: ServingSettings) -> None:
-        """Ask other seeds from now on, and hold feeds as the bounds allow."""
-        self._known_peers.settings = settings
-        self._hold(settings)
+        """Apply new seeds and time bounds."""
+        self._peer_addresses.settings = settings
+        self._set_long_poll_durations(settings)
 
-    def _hold(self, settings: ServingSettings) -> None:
-        """Set how long the calls of each feed are held."""
-        wait_s = settings.contact_s * WAIT_SHARE
+    def _set_long_poll_durations(self, settings: ServingSettings) -> None:
+        """Set the duration of the long polls from the time bounds in the settings."""
+        wait_s = settings.contact_s * LONG_POLL_FRACTION
         for feed in (self.configuration, self.workers, self.daemons):
             feed.wait_s = wait_s
-        self.jobs.wait_s = min(wait_s, settings.cancel_s * WAIT_SHARE)
+        self.jobs.wait_s = min(wait_s, settings.cancel_s * LONG_POLL_FRACTION)
+
+    def limit_job_feed_rate(self, daemon_count: int, cancel_s: float) -> None:
+        """Set the pause between calls for the jobs table, to limit the rate of the whole fleet.
 
-    def limit_job_polling(self, daemons: int, cancel_s: float) -> None:
-        """Divide the calls that follow the jobs among so many daemons."""
-        longest_s = cancel_s * LONGEST_PAUSE_SHARE
-        self.jobs.pause_s = min(longest_s, daemons / JOB_FEED_CALLS_PER_S)
+        The pause is at most ``MAX_JOB_FEED_PAUSE_FRACTION`` of ``cancel_s``, even if the fleet then
+        exceeds ``MAX_JOB_FEED_CALLS_PER_S``.
+        """
+        max_pause_s = cancel_s * MAX_JOB_FEED_PAUSE_FRACTION
+        self.jobs.pause_s = min(max_pause_s, daemon_count / MAX_JOB_FEED_CALLS_PER_S)
 
     def store_now_ms(self, now_s: float) -> int:
-        """Return the store's clock by the feed that was answered last.
+        """Return the store's clock in milliseconds, extrapolated from the latest feed response.
 
-        Raises ``StoreRefused`` while the store has answered none: rows from peers tell no clock.
+        ``now_s`` is the current time of the event loop. Raises ``StoreRefused`` until the store has
+        answered a feed call; tables received from peers carry no clock.
         """
         feeds = (self.configuration, self.workers, self.daemons, self.jobs)
-        answered = [feed for feed in feeds if feed.now_read_at_s is not None]
-        if not answered:
-            raise StoreRefused("the store's clock is not known yet")
-        latest = max(answered, key=lambda feed: feed.now_read_at_s or 0.0)
+        feeds_with_clock = [feed for feed in feeds if feed.now_read_at_s is not None]
+        if not feeds_with_clock:
+            raise StoreRefused("store clock unknown: the store has not answered a feed call yet")
+        latest = max(feeds_with_clock, key=lambda feed: feed.now_read_at_s or 0.0)
         assert latest.now_read_at_s is not None
         return latest.now_ms + int((now_s - latest.now_read_at_s) * 1000)
 
-    def run_coroutines(self) -> list[Coroutine[Any, Any, None]]:
-        """Return the work that follows the tables, until cancelled."""
+    def watch_coroutines(self) -> list[Coroutine[Any, Any, None]]:
+        """Return the coroutines that watch the tables until cancelled."""
         feeds = (self.configuration, self.workers, self.daemons, self.suspects, self.jobs)
-        followed = (*feeds, self.peer_tables)
-        return [each.run() for each in followed]
+        watchers = (*feeds, self.peer_tables)
+        return [watcher.run() for watcher in watchers]
--- a/mountstand/serving_limits.py
+++ b/mountstand/serving_limits.py
@@ -1,4 +1,4 @@
-"""Keeps the limits of tenants together with the other daemons that serve callers."""
+"""Rate limits of tenants, which the daemons that callers are referred to enforce together."""
 
 from __future__ import annotations
 
@@ -22,12 +22,13 @@
 from mountstand.tenants.tenant import TenantIndex
 from mountstand.wire.gossip import TokenAsk, TokenGrant
 
-NUMBER_BITS = 62
-"""Questions are numbered from a chance number of so many bits."""
+INITIAL_REQUEST_NUMBER_BITS = 62
+"""Bits of the random number with which the numbering of token requests to other daemons starts, so
+that a restarted process doesn't accept grants for requests of its predecessor."""
 
 
 class ServingLimits:
-    """The limits of one serving process."""
+    """Enforces this daemon's shares of the tenants' rate limits, and lends and borrows tokens."""
 
     def __init__(
         self,
@@ -44,12 +45,12 @@
         self._settings = settings
         self.limit_sharing = LimitSharing(settings.name)
         self._has_limits = asyncio.Event()
-        self._later: asyncio.TimerHandle | None = None
+        self._share_release_timer: asyncio.TimerHandle | None = None
         self._limits = TenantLimits(
             self.limit_sharing,
             CheckpointState(),
             settings.limit_tolerance,
-            secrets.randbits(NUMBER_BITS),
+            secrets.randbits(INITIAL_REQUEST_NUMBER_BITS),
         )
         self._checkpoint_writer = UsageCheckpointWriter(
             self._limits,
@@ -63,44 +64,53 @@
         self.gate = LimitGate(self._limits, MembershipMessageLink(membership), rng)
 
     def apply_settings(self, settings: ServingSettings) -> None:
-        """Keep limits as exactly as the settings say."""
+        """Apply the window and the tolerated excess of the limits."""
         self._settings = settings
         self._limits.set_tolerance(settings.limit_tolerance)
 
     def set_tenants(self, tenants: TenantIndex) -> None:
-        """Keep the limits of a new configuration."""
+        """Apply the limits of a new configuration."""
         self._limits.set_tenants(tenants)
         if any(tenant.requests_per_s > 0 for tenant in tenants.by_name.values()):
             self._has_limits.set()
 
-    def update_fleet(self, slots: int) -> None:
-        """Take the daemons that the store lists, before workers with so many slots."""
+    def redistribute(self, slots: int) -> None:
+        """Redistribute the limits among the daemons that serve callers.
+
+        ``slots`` is the number of slots of all workers, which determines how many daemons serve.
+        These are selected from the registry rows in the store, whether or not the daemons are
+        believed to run: an unresponsive daemon may still admit requests. The share of a daemon that
+        left stays reserved for one window and the lifetime of a token loan, since the requests that
+        it admitted still count.
+        """
         loop = asyncio.get_running_loop()
         listed = [row.as_peer() for row in self._registry.listed()]
         leaving = [row.as_peer() for row in self._registry.leaving()]
-        served_lately = serving_daemons([*listed, *leaving], slots)
-        hold_s = self._window_s() + LOAN_TTL_S
+        recently_serving = serving_daemons([*listed, *leaving], slots)
+        reserve_s = self._window_s() + LOAN_TTL_S
         self.limit_sharing.update_members(
             serving_daemons(listed, slots),
             self._membership.live_names(),
             loop.time(),
-            served_lately & {peer.member_id for peer in leaving},
-            hold_s,
+            recently_serving & {peer.member_id for peer in leaving},
+            reserve_s,
         )
-        if self.limit_sharing.has_reserved_shares and self._later is None:
-            self._later = loop.call_later(hold_s, self._use_fleet_again, slots)
+        if self.limit_sharing.has_reserved_shares and self._share_release_timer is None:
+            self._share_release_timer = loop.call_later(
+                reserve_s, self._release_reserved_shares, slots
+            )
 
-    def _use_fleet_again(self, slots: int) -> None:
-        """Share out the parts of daemons that left a window ago."""
-        self._later = None
-        self.update_fleet(slots)
+    def _release_reserved_shares(self, slots: int) -> None:
+        """Redistribute the limits again when reservations for departed daemons may have ended."""
+        self._share_release_timer = None
+        self.redistribute(slots)
 
     def handle(self, sender: str, message: TokenAsk | TokenGrant) -> None:
-        """Take what another daemon asks or lends."""
+        """Handle a token request or grant from another daemon."""
         self.gate.handle(sender, message)
 
     async def run(self) -> None:
-        """Keep marks in the store from the first configuration with limits on."""
+        """Maintain usage checkpoints in the store until cancelled, once a tenant has a limit."""
         await self._has_limits.wait()
         await self._checkpoint_writer.run()
 
--- a/mountstand/serving_listeners.py
+++ b/mountstand/serving_listeners.py
@@ -1,4 +1,4 @@
-"""The addresses on which a serving process listens, and their orderly closing."""
+"""The HTTP listeners of a serving process, and their graceful shutdown."""
 
 from __future__ import annotations
 
@@ -14,50 +14,54 @@
     ServerRequest,
 )
 
-BODY_MEMORY_SHARE = 0.2
-"""Share of the memory that callers' bodies may take; each stands in memory about twice, once
-more on its way to a worker."""
+BODY_MEMORY_FRACTION = 0.2
+"""Fraction of the memory that request bodies of callers may use. Actual use is about twice as high,
+as each body is copied when it is forwarded to a worker."""
 
-DESCRIPTOR_SHARE = 0.6
-"""Share of the descriptors that callers' connections may take."""
+CALLER_DESCRIPTOR_FRACTION = 0.6
+"""Fraction of the file descriptors that connections of callers may use."""
 
 
 class CallerInterface(Protocol):
-    """What callers and the platform's checks speak."""
+    """Handlers for the requests of callers and for the platform's readiness checks."""
 
     async def handle_request(self, request: ServerRequest, responder: Responder) -> None:
-        """Answer a request of a caller."""
+        """Handle an inference or job request of a caller."""
 
     async def handle_ready(self, request: ServerRequest, responder: Responder) -> None:
-        """Tell whether callers may be sent here."""
+        """Respond whether callers may be referred to this daemon."""
 
     async def handle_address_lookup(self, request: ServerRequest, responder: Responder) -> None:
-        """Tell a caller which addresses to use."""
+        """Respond with the daemon addresses that a caller is to use."""
 
 
 class ServingListeners:
-    """Servers for callers, for the platform's checks, for look-ups and for other daemons."""
+    """HTTP servers for callers, readiness checks, address look-ups and other daemons.
+
+    ``on_rejected`` is called with the response status of each request that a server rejects as
+    malformed.
+    """
 
     def __init__(self, on_rejected: Callable[[int], None]) -> None:
         self._on_rejected = on_rejected
         self._servers: list[HttpServer] = []
-        self._callers: HttpServer | None = None
+        self._caller_server: HttpServer | None = None
 
     async def start(
         self, settings: ServingSettings, interface: CallerInterface, handle_peer: Handler
     ) -> None:
-        """Listen on all addresses of the settings."""
+        """Listen on all configured addresses."""
         listeners = settings.listeners
-        limit = int(settings.max_descriptors * DESCRIPTOR_SHARE)
-        self._callers = HttpServer(
+        max_connections = int(settings.max_descriptors * CALLER_DESCRIPTOR_FRACTION)
+        self._caller_server = HttpServer(
             interface.handle_request,
             ServerLimits(),
             self._on_rejected,
-            max_connections=limit,
-            max_held_bytes=int(settings.memory_mb * BODY_MEMORY_SHARE * 1024 * 1024),
+            max_connections=max_connections,
+            max_held_bytes=int(settings.memory_mb * BODY_MEMORY_FRACTION * 1024 * 1024),
         )
-        self._servers.append(self._callers)
-        await self._callers.start(listeners.callers.host, listeners.callers.port)
+        self._servers.append(self._caller_server)
+        await self._caller_server.start(listeners.callers.host, listeners.callers.port)
         for address, handler in (
             (listeners.ready, interface.handle_ready),
             (listeners.directory, interface.handle_address_lookup),
@@ -69,22 +73,22 @@
                 self._servers.append(server)
 
     def set_limits(self, limits: ServerLimits) -> None:
-        """Hold callers to limits from now on."""
+        """Apply new request limits to all servers."""
         for server in self._servers:
             server.limits = limits
 
     @property
     def caller_connection_count(self) -> int:
-        """How many connections callers have open."""
-        return len(self._callers.connections) if self._callers is not None else 0
+        """The number of connections that callers have open."""
+        return len(self._caller_server.connections) if self._caller_server is not None else 0
 
     def announce_close(self) -> None:
-        """Let callers' connections end with their next answer."""
-        if self._callers is not None:
-            self._callers.announce_close()
+        """Close each connection of a caller after its next response; idle ones stay open."""
+        if self._caller_server is not None:
+            self._caller_server.announce_close()
 
     def close_caller_listener(self) -> None:
-        """Take no new connections of callers, and close those that rest."""
-        if self._callers is not None:
-            self._callers.stop_listening()
-            self._callers.close_idle()
+        """Stop accepting connections from callers, and close the idle ones."""
+        if self._caller_server is not None:
+            self._caller_server.stop_listening()
+            self._caller_server.close_idle()
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -1,4 +1,7 @@
-"""One serving process: wires routing, workers, jobs, membership and the store, and stops whole."""
+"""A daemon, the serving process of one machine: connects, starts and stops its components.
+
+Every daemon can serve callers; those that callers are referred to are called the serving daemons.
+"""
 
 from __future__ import annotations
 
@@ -64,42 +67,54 @@
 )
 
 CLUSTER_KEY = "insecure-development-key"
-"""The platform gives no secret to its processes; the frames' hash only keeps strangers' datagrams
-and damaged ones apart."""
+"""Key for the authentication codes of gossip frames. The platform provides no secret to its
+processes, so the codes detect only damaged datagrams and those of unrelated senders."""
+
+DEFAULT_MAX_WORKER_CONNECTIONS = 100
+"""Connections that a worker is assumed to allow while no service is configured."""
 
-DEFAULT_ALLOWED = 100
-IDLE_SHARE = 0.5
-MOST_IDLE = 8
-"""Idle connections that one daemon keeps to a worker: a share of those that the worker allows."""
+IDLE_CONNECTION_FRACTION = 0.5
+"""Fraction of the connections allowed by a worker that all serving daemons together keep idle. Each
+daemon may keep at least one."""
 
-FLEET_CHANGE_S = 0.1
-"""Changes of the fleet are taken over so late: where all start at once, each would cost every
-daemon a look at all others."""
+MAX_IDLE_CONNECTIONS_PER_WORKER = 8
+"""Limit on the idle connections of one daemon to a worker, however few daemons there are."""
 
-LEAVING_USE_SHARE = 0.5
-"""Share of the time within which a leaving worker must get no new work for which it may still get
-some where no other worker is left."""
+SHARE_UPDATE_DELAY_S = 0.1
+"""Delay after a fleet change before shares are recomputed, so that one update covers the changes
+that arrive meanwhile. Without it, every daemon would go through the whole fleet once for each
+daemon that starts."""
 
-CLOSE_LISTENERS_AFTER_S = 3.2
-"""A stopping daemon takes new connections until lists of addresses kept thrice their time ran
-out."""
+WITHDRAWN_GRACE_FRACTION = 0.5
+"""Fraction of ``drain_s`` during which a withdrawn worker (leaving, or in an evacuated zone) may
+still get new work if no other worker of its service is available."""
 
-TENANTS_TOLD = 20
-"""Tenants that a line names at most."""
+LISTENER_CLOSE_DELAY_S = 3.2
+"""Time for which a stopping daemon still accepts connections, because callers may use a cached list
+of daemon addresses for up to three times its TTL. This covers TTLs of up to 1 s."""
 
-STOP_MARGIN_S = 0.6
-"""What still runs so long before the process is killed is broken off."""
+MAX_TENANTS_LOGGED = 20
+"""Limit on the tenant names in one log line."""
+
+KILL_MARGIN_S = 0.6
+"""A graceful stop ends at the latest this long before the platform kills the process, even if
+requests or jobs are still in progress."""
 
 
 class Store(RowStore, ObjectStore, Protocol):
-    """Rows and objects."""
+    """A store for rows and objects whose address can change at run time."""
 
     def set_address(self, address: SocketAddress) -> None:
-        """Make further calls to ``address``."""
+        """Send all further calls to ``address``."""
 
 
 class ServingNode:
-    """The process that serves callers on one machine."""
+    """The components of one daemon, which serves online requests and batch jobs.
+
+    ``source`` decodes the platform's rows for configuration and workers, ``protocol`` encodes the
+    requests to workers, and ``parse_document`` splits the document of a batch job into its items.
+    Must be created inside a running event loop.
+    """
 
     def __init__(
         self,
@@ -117,30 +132,30 @@
         self._store = store
         self._stopping = False
         self._tasks: set[asyncio.Task[None]] = set()
-        self._fleet_change: asyncio.TimerHandle | None = None
-        self._listeners = ServingListeners(self._note_rejected)
-        self._source_of_chance = source_of_chance = random.Random()
+        self._share_update_timer: asyncio.TimerHandle | None = None
+        self._listeners = ServingListeners(self._log_malformed_request)
+        self._rng = rng = random.Random()
         self.directory = WorkerDirectory(
             settings.zone,
-            source_of_chance,
-            settings.drain_s * LEAVING_USE_SHARE,
+            rng,
+            settings.drain_s * WITHDRAWN_GRACE_FRACTION,
             settings.geography,
         )
         self.connections = WorkerConnections()
-        self.queue = OnlineQueue(self.directory, source_of_chance)
-        self.batch_scheduler = BatchScheduler(self.directory, self.queue, source_of_chance)
-        service_chooser = WeightedServiceChooser(source_of_chance)
+        self.queue = OnlineQueue(self.directory, rng)
+        self.batch_scheduler = BatchScheduler(self.directory, self.queue, rng)
+        service_chooser = WeightedServiceChooser(rng)
         self._build_membership(store)
         self.quarantine = RequestQuarantine(
             settings.name,
             WorkerCrashDetector(self.connections, metrics, log),
             MembershipReportLink(self.membership, lambda: self.load_sharing.serving),
-            source_of_chance,
+            rng,
             metrics,
             log,
         )
         self.quarantine.on_blocked = self.queue.reject
-        self.queue.on_over_share_changed = self._note_over_share
+        self.queue.on_over_share_changed = self._report_tenants_over_share
         self.forwarder = Forwarder(
             self.directory,
             self.connections,
@@ -162,7 +177,7 @@
             self.quarantine.query_peers,
         )
         self.queue.lending = self._lending = SlotLending(
-            self.directory, settings.name, MembershipMessageLink(self.membership), source_of_chance
+            self.directory, settings.name, MembershipMessageLink(self.membership), rng
         )
         self._lending.may_lend = lambda service: not self.queue.has_waiting_requests(service)
         self._lending.preempt_batch_item = self.batch_scheduler.preempt_batch_item
@@ -173,13 +188,13 @@
             self.registry,
             store,
             self._store_now_ms,
-            source_of_chance,
+            rng,
             log,
         )
         self.access = CallerAccess(
             self._limits.gate, self._configuration_may_be_stale, metrics, log
         )
-        self._configuration_state = ConfigurationState(source, log, self._use_configuration)
+        self._configuration_state = ConfigurationState(source, log, self._apply_configuration)
         self._zones = ServingZones(
             self.directory,
             self.batch_scheduler,
@@ -193,24 +208,24 @@
             metrics,
             log,
         )
-        self.callers = DaemonLocator(
+        self.daemon_locator = DaemonLocator(
             self.registry,
             self.directory.slots,
             lambda: self._zones.evacuated,
             lambda: self.settings.geography,
-            source_of_chance,
+            rng,
         )
         self._stored_suspects = StoredSuspects(
             self.quarantine.suspects, store, self._store_now_ms, log
         )
         self.quarantine.attach_store(self._stored_suspects)
-        workers_state = WorkerDirectorySync(source, self.directory, log)
+        worker_sync = WorkerDirectorySync(source, self.directory, log)
         self.feeds = ServingFeeds(
             store,
             source,
             FeedTargets(
-                self._apply_operators_rows,
-                workers_state.apply,
+                self._apply_configuration_rows,
+                worker_sync.apply,
                 self.registry,
                 lambda change: self.jobs.apply(change),
                 self._stored_suspects.apply,
@@ -225,7 +240,7 @@
     def _build_membership(self, store: Store) -> None:
         settings = self.settings
         incarnation = time.time_ns() // 1_000_000
-        own = DaemonRow(
+        own_row = DaemonRow(
             settings.name,
             new_token(),
             str(settings.listeners.callers),
@@ -236,7 +251,7 @@
             incarnation,
             capacity=settings.capacity,
         )
-        self.registry = DaemonRegistry(store, own, self.log, self._handle_members)
+        self.registry = DaemonRegistry(store, own_row, self.log, self._schedule_share_update)
         self.membership = DatagramMembership(
             Member(
                 settings.name, settings.address, settings.gossip_port, settings.zone, incarnation
@@ -244,7 +259,7 @@
             FAILURE_DETECTION,
             FrameCodec(settings.name, incarnation, [CLUSTER_KEY], GossipBodies()),
             self.log,
-            self._handle_members,
+            self._schedule_share_update,
         )
         self.registry.membership = self.membership
         self.load_sharing = LoadSharing(
@@ -282,82 +297,99 @@
             self.registry.live_tokens,
             self.settings.name,
             lambda: self.load_sharing.serving,
-            self._is_in,
+            self._is_daemon_in_regions,
         )
-        self.jobs = JobService(context, owners, parse_document, self._keep_s)
+        self.jobs = JobService(context, owners, parse_document, self._job_retention_s)
 
     # State
 
     @property
     def configuration(self) -> Configuration | None:
-        """The configuration in force, if any."""
+        """The current configuration, or ``None`` before the first valid one was read."""
         return self._configuration_state.current
 
     @property
     def ready(self) -> bool:
-        """Whether callers may be sent here."""
-        informed = self.configuration is not None and self.feeds.workers.loaded.is_set()
-        return informed and not self._stopping
+        """Whether callers may be referred to this daemon.
 
-    def _is_in(self, name: str, regions: Regions) -> bool:
-        """Return whether a daemon is in one of some regions."""
+        This is so once the configuration and the list of workers are loaded, until a stop begins.
+        """
+        has_state = self.configuration is not None and self.feeds.workers.loaded.is_set()
+        return has_state and not self._stopping
+
+    def _is_daemon_in_regions(self, name: str, regions: Regions) -> bool:
+        """Return whether the daemon ``name`` is in one of ``regions``."""
         return self.settings.geography.allows(regions, self.registry.zone_of(name))
 
     def configuration_age_s(self) -> float:
-        """Return how old this daemon's picture of the configuration may be."""
+        """Return an upper bound on the staleness of this daemon's configuration."""
         return self.feeds.configuration.age_s(asyncio.get_running_loop().time())
 
     def _configuration_may_be_stale(self) -> bool:
-        """Return whether the configuration may have changed without being seen here."""
+        """Return whether this daemon may have missed a change of the configuration."""
         return (
             self.feeds.configuration.failing or self.configuration_age_s() > self.settings.contact_s
         )
 
     def _fleet_may_be_stale(self) -> bool:
-        """Return whether daemons may have come or gone without being seen here."""
+        """Return whether this daemon may have missed that others joined or left the fleet."""
         age_s = self.feeds.daemons.age_s(asyncio.get_running_loop().time())
         return age_s > self.settings.contact_s
 
     def store_age_s(self) -> float:
-        """Return how old this daemon's picture of the jobs may be."""
+        """Return an upper bound on the staleness of this daemon's view of the jobs."""
         return self.feeds.jobs.age_s(asyncio.get_running_loop().time())
 
     def _store_now_ms(self) -> int:
         return self.feeds.store_now_ms(asyncio.get_running_loop().time())
 
-    def _keep_s(self, head: JobHead) -> float:
-        """Return how long a job is kept after its acceptance."""
+    def _job_retention_s(self, head: JobHead) -> float:
+        """Return for how long after its acceptance a job and its results are retained."""
         route = self.configuration.match(head.host, head.path) if self.configuration else None
         retention_s = route.retention_s if route is not None else 0.0
         return 2 * self.settings.status_s + retention_s
 
     # Feeds
 
-    def _apply_operators_rows(self, change: TableChange) -> None:
+    def _apply_configuration_rows(self, change: TableChange) -> None:
         self._configuration_state.apply(change)
         self._zones.apply(change)
 
-    def _use_configuration(self, configuration: Configuration) -> None:
+    def _apply_configuration(self, configuration: Configuration) -> None:
         self._listeners.set_limits(configuration.limits)
         self._limits.set_tenants(configuration.tenants)
         self._zones.apply_configuration(configuration)
 
-    def _handle_members(self) -> None:
-        """Note that the fleet changed; changes that come together are taken over at once."""
-        if self._fleet_change is None:
+    def _schedule_share_update(self) -> None:
+        """Schedule an update of the shares after a fleet change, unless one is pending."""
+        if self._share_update_timer is None:
             loop = asyncio.get_running_loop()
-            self._fleet_change = loop.call_later(FLEET_CHANGE_S, self._share_out)
+            self._share_update_timer = loop.call_later(
+                SHARE_UPDATE_DELAY_S, self._update_fleet_shares
+            )
+
+    def _update_fleet_shares(self) -> None:
+        """Recompute this daemon's share of the fleet-wide budgets.
 
-    def _share_out(self) -> None:
-        """Share out among the daemons what all of them together may use."""
-        self._fleet_change = None
-        daemons = max(1, len(self.registry.live()))
-        self.feeds.limit_job_polling(daemons, self.settings.cancel_s)
+        These are the call rate of the jobs feed, idle connections to workers, and rate limits.
+        """
+        self._share_update_timer = None
+        daemon_count = max(1, len(self.registry.live()))
+        self.feeds.limit_job_feed_rate(daemon_count, self.settings.cancel_s)
         services = self.configuration.services.values() if self.configuration else []
-        allowed = min((service.max_connections for service in services), default=DEFAULT_ALLOWED)
-        share = int(allowed * IDLE_SHARE / max(1, len(self.callers.serving())))
-        self.forwarder.max_idle_connections_per_worker = max(1, min(MOST_IDLE, share))
-        self._limits.update_fleet(self.directory.slots())
+        max_connections_per_worker = min(
+            (service.max_connections for service in services),
+            default=DEFAULT_MAX_WORKER_CONNECTIONS,
+        )
+        max_idle = int(
+            max_connections_per_worker
+            * IDLE_CONNECTION_FRACTION
+            / max(1, len(self.daemon_locator.serving()))
+        )
+        self.forwarder.max_idle_connections_per_worker = max(
+            1, min(MAX_IDLE_CONNECTIONS_PER_WORKER, max_idle)
+        )
+        self._limits.redistribute(self.directory.slots())
 
     def _handle_peer_message(self, sender_id: str, message: GossipMessage) -> None:
         if isinstance(message, LoadDigest):
@@ -370,60 +402,66 @@
         elif isinstance(message, CrashReport | CrashQuery):
             self.quarantine.handle(sender_id, message)
 
-    # Life
+    # Start, stop and reload
 
     async def start(self, interface: CallerInterface) -> None:
-        """Listen and begin to follow the store."""
+        """Open all listeners, and start the background tasks, which run until the process ends."""
         await self.membership.start(self.settings.address, self.settings.gossip_port)
         await self._listeners.start(self.settings, interface, self.feeds.peer_tables.handle)
-        for work in (
-            *self.feeds.run_coroutines(),
+        for coroutine in (
+            *self.feeds.watch_coroutines(),
             self._register(),
             self.membership.run(),
             self.jobs.run(),
             self._periodic.sweep(),
-            self._periodic.balance_load(),
+            self._periodic.run_load_cycles(),
             self._limits.run(),
             self.quarantine.run(),
             self._stored_suspects.run(),
             self._zones.run(),
         ):
-            self._spawn(work)
+            self._spawn(coroutine)
         self.log.event("daemon_started", zone=self.settings.zone, token=self.registry.own.token)
 
     async def stop(self) -> None:
-        """Stop as planned: leave the list, finish what is in progress, hand the jobs on."""
+        """Stop gracefully: leave the fleet, finish requests in progress and hand over the jobs.
+
+        Returns when all callers have disconnected and all jobs are handed over, or else
+        ``KILL_MARGIN_S`` before the platform kills the process.
+        """
         loop = asyncio.get_running_loop()
-        began_s = loop.time()
-        end_s = began_s + self.settings.grace_s - STOP_MARGIN_S
+        started_s = loop.time()
+        deadline_s = started_s + self.settings.grace_s - KILL_MARGIN_S
         self._stopping = True
         self.log.event("stop_begun", connections=self._listeners.caller_connection_count)
         self.membership.leave()
         self._listeners.announce_close()
         self._spawn(self.registry.announce_leaving())
-        drained = asyncio.create_task(self.jobs.drain())
-        await asyncio.sleep(CLOSE_LISTENERS_AFTER_S)
+        drain_task = asyncio.create_task(self.jobs.drain())
+        await asyncio.sleep(LISTENER_CLOSE_DELAY_S)
         self._listeners.close_caller_listener()
+        # Connections accepted last may not have sent their first request yet.
         await asyncio.sleep(FIRST_REQUEST_S)
-        while loop.time() < end_s:
-            if drained.done() and not self._listeners.caller_connection_count:
+        while loop.time() < deadline_s:
+            if drain_task.done() and not self._listeners.caller_connection_count:
                 break
             await asyncio.sleep(0.05)
         self.log.event(
             "daemon_stopped",
             connections_left=self._listeners.caller_connection_count,
-            jobs_handed_on=drained.done(),
-            after_s=round(loop.time() - began_s, 3),
+            jobs_handed_on=drain_task.done(),
+            after_s=round(loop.time() - started_s, 3),
         )
 
-    def reload(self, read: Callable[[], ServingSettings]) -> None:
-        """Read the settings again; bounds and the store's address are in force at once.
+    def reload(self, read_settings: Callable[[], ServingSettings]) -> None:
+        """Read the settings again and apply those that can change at run time.
 
-        Addresses that this process listens on need a new start. Settings that are wrong are told
-        and change nothing.
+        The store's address, seeds, tolerances and time bounds take effect at once, except that
+        the pause of the jobs feed follows ``cancel_s`` at the next fleet change. Listen addresses,
+        the zone and resource limits need a restart. Invalid settings are logged and change nothing.
         """
         try:
-            settings = read()
+            settings = read_settings()
         except MountstandError as problem:
             self.log.event("reload_failed", cause=problem.detail)
             return
@@ -437,34 +475,34 @@
         self.feeds.apply_settings(settings)
         self._limits.apply_settings(settings)
         self._zones.set_tolerance(settings.cold_tolerance)
-        self.directory.withdrawn_grace_s = settings.drain_s * LEAVING_USE_SHARE
+        self.directory.withdrawn_grace_s = settings.drain_s * WITHDRAWN_GRACE_FRACTION
         self.log.event("reload", changed=changed)
 
     async def _register(self) -> None:
-        """Enter the list of daemons once this one can serve."""
+        """Add this daemon to the registry as soon as it is ready, and maintain its row."""
         while not self.ready:
             await asyncio.sleep(0.02)
         await self.registry.run()
 
-    def _note_over_share(self, service: str, tenants: frozenset[str]) -> None:
-        """Tell whose requests go behind others while some wait for a service."""
+    def _report_tenants_over_share(self, service: str, tenants: frozenset[str]) -> None:
+        """Report the tenants over their fair share of a service, whose requests are queued last."""
         self.metrics.tenants_over_share(service, len(tenants))
         self.log.event(
             "tenants_over_share",
             service=service,
             count=len(tenants),
-            tenants=sorted(tenants)[:TENANTS_TOLD],
+            tenants=sorted(tenants)[:MAX_TENANTS_LOGGED],
         )
 
-    def _note_rejected(self, status: int) -> None:
+    def _log_malformed_request(self, status: int) -> None:
         self.log.event("request_malformed", status=status)
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._note_ended)
+        task.add_done_callback(self._handle_task_done)
 
-    def _note_ended(self, task: asyncio.Task[None]) -> None:
+    def _handle_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self.log.event("task_failed", cause=repr(task.exception()))
--- a/mountstand/serving_periodic.py
+++ b/mountstand/serving_periodic.py
@@ -1,4 +1,4 @@
-"""What a serving process does again and again: digests, health, waiting work, and forgetting."""
+"""Periodic work of a serving process: load digests, health checks, dispatch and clean-up."""
 
 from __future__ import annotations
 
@@ -13,15 +13,17 @@
 from mountstand.serving.workers import WorkerDirectory
 from mountstand.telemetry.decisions import DecisionLog
 
-SWEEP_S = 0.25
-PAUSE_TOLD_S = 0.5
-"""A timer that is so late tells that the process did not run: frozen, or without its processor."""
+SWEEP_INTERVAL_S = 0.25
+
+PROCESS_PAUSE_THRESHOLD_S = 0.5
+"""Timer delay above which the process counts as paused: it was suspended or got no CPU time."""
 
 
 class PeriodicWork:
-    """Runs the parts of a serving process that act once per period.
+    """Runs the components of a serving process that must act at regular intervals.
 
-    ``on_pause`` is called after the process stood still, or its machine was suspended.
+    ``on_resume`` is called after a pause of the process or of its machine, when messages may
+    have been missed and the daemon's state is outdated by the length of the pause.
     """
 
     def __init__(
@@ -32,7 +34,7 @@
         batch_scheduler: BatchScheduler,
         load_sharing: LoadSharing,
         log: DecisionLog,
-        on_pause: Callable[[], None] = lambda: None,
+        on_resume: Callable[[], None] = lambda: None,
     ) -> None:
         self._directory = directory
         self._connections = connections
@@ -40,22 +42,28 @@
         self._batch_scheduler = batch_scheduler
         self._load_sharing = load_sharing
         self._log = log
-        self._on_pause = on_pause
+        self._on_resume = on_resume
 
     async def sweep(self) -> None:
-        """Forget workers and connections that are gone, until cancelled."""
+        """Discard state of departed workers and close unusable connections, until cancelled.
+
+        Connections are closed if they were idle too long or their worker is gone. Also detects
+        pauses of the process.
+        """
         loop = asyncio.get_running_loop()
         while True:
-            began_s = loop.time()
-            await asyncio.sleep(SWEEP_S)
-            self._note_pause(loop.time() - began_s - SWEEP_S)
+            started_s = loop.time()
+            await asyncio.sleep(SWEEP_INTERVAL_S)
+            self._check_for_pause(loop.time() - started_s - SWEEP_INTERVAL_S)
             self._directory.sweep(loop.time())
             self._batch_scheduler.prune_placements(set(self._directory.workers))
-            listed = {worker.incarnation for worker in self._directory.workers.values()}
-            self._connections.sweep(listed, loop.time())
+            listed_incarnations = {
+                worker.incarnation for worker in self._directory.workers.values()
+            }
+            self._connections.sweep(listed_incarnations, loop.time())
 
-    async def balance_load(self) -> None:
-        """Tell the load, judge workers, and give slots to what waits, until cancelled."""
+    async def run_load_cycles(self) -> None:
+        """Send load digests, eject failing workers and dispatch queued work, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(self._load_sharing.period_s)
@@ -65,11 +73,11 @@
             self._queue.tick(loop.time(), self._load_sharing.hops)
             self._batch_scheduler.tick(loop.time(), self._load_sharing.hops)
 
-    def _note_pause(self, late_s: float) -> None:
-        """Tell that this process stood still: what it knows is older by that much."""
-        if late_s > PAUSE_TOLD_S:
-            self._log.event("process_paused", for_s=round(late_s, 3))
-            self._on_pause()
+    def _check_for_pause(self, delay_s: float) -> None:
+        """Log a pause and call ``on_resume`` if a timer was late by more than the threshold."""
+        if delay_s > PROCESS_PAUSE_THRESHOLD_S:
+            self._log.event("process_paused", for_s=round(delay_s, 3))
+            self._on_resume()
 
     def _log_ejection(self, worker: Worker) -> None:
         health = worker.health
--- a/mountstand/serving_settings.py
+++ b/mountstand/serving_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a serving process: addresses, bounds and limits, in the product's own names."""
+"""Settings of a serving process, independent of the platform that provides them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class SocketAddress:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
@@ -22,16 +22,20 @@
 
     @classmethod
     def parse(cls, text: str) -> SocketAddress:
-        """Return the address that ``IP:PORT`` names. Raises ``ValueError``."""
+        """Parse ``IP:PORT``. Raises ``ValueError`` if there is no numeric port."""
         host, separator, port = text.rpartition(":")
         if not separator or not port.isdigit():
-            raise ValueError(f"not IP:PORT: {text!r}")
+            raise ValueError(f"invalid address {text!r}: expected IP:PORT")
         return cls(host, int(port))
 
 
 @dataclass(frozen=True)
 class Listeners:
-    """Where the process listens; what is ``None`` is not served."""
+    """Listen addresses by interface. An interface whose address is ``None`` is disabled.
+
+    ``callers`` takes requests, ``ready`` the platform's readiness checks, ``directory`` look-ups of
+    daemon addresses by callers, and ``control`` requests of other daemons.
+    """
 
     callers: SocketAddress
     ready: SocketAddress | None = None
@@ -41,7 +45,7 @@
 
 @dataclass(frozen=True)
 class StoreSettings:
-    """Where the store is, and how large a row's value may be."""
+    """Address of the store, and the maximum size of a row's value in bytes."""
 
     address: SocketAddress
     row_bytes: int = 65536
@@ -49,16 +53,22 @@
 
 @dataclass(frozen=True)
 class ServingSettings:
-    """Everything one serving process must know to start.
-
-    ``drain_s`` is the time within which a leaving worker must get no new work; ``grace_s`` the time
-    from the request to stop until the process is killed; ``contact_s`` the time without the store
-    after which a process no longer counts as in touch; ``cancel_s`` the time within which the end
-    of a job must be obeyed; ``status_s`` how long results of a job can be asked for; ``capacity``
-    the processor that the machine has, in cores. ``seeds`` are control addresses of some daemons,
-    which may be out of date. ``geography`` tells the zones' regions. ``limit_tolerance`` is how
-    exactly the limits of tenants must be kept, ``cold_tolerance`` how exactly the bound of cold
-    workers.
+    """Settings of one serving process.
+
+    - ``address``: IP address of this machine for gossip and metrics
+    - ``metrics``: port and path of the metrics endpoint, if enabled
+    - ``drain_s``: time within which daemons must stop sending new work to a leaving worker
+    - ``grace_s``: time from the request to stop until the platform kills the process
+    - ``resolve_ttl_max_s``: maximum TTL of the daemon addresses that callers look up
+    - ``contact_s``: time after which data read from the store may no longer be relied on as current
+    - ``cancel_s``: time within which the cancellation of a job must take effect
+    - ``status_s``: time for which the status and results of a job can be requested
+    - ``capacity``: CPU capacity for the process, in cores
+    - ``memory_mb``, ``max_descriptors``: memory and file descriptors that the process may use
+    - ``seeds``: control addresses of some daemons, used until others are known; may be outdated
+    - ``geography``: the region of each zone
+    - ``limit_tolerance``: window and tolerated excess for the rate limits of tenants
+    - ``cold_tolerance``: tolerated excess over the cold-start limits of workers
     """
 
     name: str
--- a/mountstand/serving_zones.py
+++ b/mountstand/serving_zones.py
@@ -1,4 +1,4 @@
-"""Zones out of use, and cold workers: the part of one serving process."""
+"""Zone evacuations and cold-start limits, as one serving process enforces them."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
 
 
 class ServingZones:
-    """Puts evacuations and cold starts into force.
+    """Enforces zone evacuations and cold-start limits, and publishes the status of evacuations.
 
-    ``has_recent_fleet_view`` returns whether the picture of the daemons is fresh, ``is_writer_for`` whether this
-    daemon tells the operator of a zone.
+    Both restrict which workers of the directory may get requests. ``has_recent_fleet_view`` returns
+    whether this daemon's view of the fleet is recent enough to rely on its share of a cold-start
+    limit, and ``is_writer_for`` whether this daemon writes the status row of a zone.
     """
 
     def __init__(
@@ -46,49 +47,58 @@
         self._load_sharing = load_sharing
         self._metrics = metrics
         self._log = log
-        began_s = asyncio.get_running_loop().time()
-        self._cold_sends = ColdStartShares(limit_sharing, tolerance, began_s, has_recent_fleet_view)
-        self._evacuations = ZoneEvacuations(source.evacuated_zone, log, self._use_evacuations)
+        started_s = asyncio.get_running_loop().time()
+        self._cold_start_shares = ColdStartShares(
+            limit_sharing, tolerance, started_s, has_recent_fleet_view
+        )
+        self._evacuations = ZoneEvacuations(source.evacuated_zone, log, self._apply_evacuations)
         self._status = EvacuationStatusPublisher(
             store, directory, self._evacuations, source.evacuation_status_key, is_writer_for, log
         )
 
     @property
     def evacuated(self) -> frozenset[str]:
-        """The zones that are out of use."""
+        """The zones that the operator has evacuated."""
         return self._evacuations.zones
 
     def apply(self, change: TableChange) -> None:
-        """Take changed rows of the operator's table."""
+        """Process changed rows of the configuration table."""
         self._evacuations.apply(change)
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Take what the workers of each service bear after a start."""
-        cold_start_limit = {
-            each.name: each.cold_start_limit
-            for each in configuration.services.values()
-            if each.cold_start_limit
+        """Apply the cold-start limits of all services."""
+        limit_by_service = {
+            service.name: service.cold_start_limit
+            for service in configuration.services.values()
+            if service.cold_start_limit
         }
         now_s = asyncio.get_running_loop().time()
-        self._directory.set_cold_start_limits(cold_start_limit, self._cold_sends, now_s)
+        self._directory.set_cold_start_limits(limit_by_service, self._cold_start_shares, now_s)
 
     def set_tolerance(self, tolerance: ColdStartTolerance) -> None:
-        """Keep the bound of cold workers as exactly as this from now on."""
-        self._cold_sends.tolerance = tolerance
+        """Change the tolerated excess over the cold-start limits."""
+        self._cold_start_shares.tolerance = tolerance
 
     async def run(self) -> None:
-        """Tell the operator how far evacuations are, until cancelled."""
+        """Publish the progress of evacuations to the operator, until cancelled."""
         await self._status.run()
 
-    def _use_evacuations(self, zones: frozenset[str]) -> None:
-        """Send nothing more to workers of evacuated zones, and name their daemons to nobody."""
-        left = self._directory.set_evacuated_zones(zones, asyncio.get_running_loop().time())
+    def _apply_evacuations(self, zones: frozenset[str]) -> None:
+        """Withdraw the workers in ``zones`` and preempt this daemon's batch items on them.
+
+        Callers are no longer referred to daemons there, unless there are no others.
+        """
+        evacuated_workers = self._directory.set_evacuated_zones(
+            zones, asyncio.get_running_loop().time()
+        )
         self._load_sharing.set_evacuated_zones(zones)
         self._metrics.zones_evacuated(len(zones))
-        if left:
+        if evacuated_workers:
             self._log.event(
                 "workers_evacuated",
-                workers=len(left),
-                requests_left=sum(worker.online for worker in left),
-                items_moved=sum(self._batch_scheduler.preempt_all(worker) for worker in left),
+                workers=len(evacuated_workers),
+                requests_left=sum(worker.online for worker in evacuated_workers),
+                items_moved=sum(
+                    self._batch_scheduler.preempt_all(worker) for worker in evacuated_workers
+                ),
             )
--- a/tests/serving/test_serving_feeds.py
+++ b/tests/serving/test_serving_feeds.py
@@ -1,4 +1,4 @@
-"""The store's clock as the feeds tell it."""
+"""The store clock that feeds provide, and the rate of their calls."""
 
 from __future__ import annotations
 
@@ -22,78 +22,78 @@
 from tests.unit.test_platform_settings import GOOD
 
 
-def feeds(store: MemoryRowStore) -> ServingFeeds:
-    """Return feeds that tell nobody."""
+def make_feeds(store: MemoryRowStore) -> ServingFeeds:
+    """Return feeds whose changes are discarded."""
     own = DaemonRow("front-1", "t", "127.0.0.1:1", "127.0.0.1", 1, "a")
     registry = DaemonRegistry(store, own, RecordingLog(), lambda: None)
     targets = FeedTargets(lambda c: None, lambda c: None, registry, lambda c: None, lambda c: None)
     return ServingFeeds(store, PlatformRows(), targets, settings_from(GOOD), RecordingLog())
 
 
-class Clock(TestCase):
-    def test_unknown_until_the_store_has_answered(self) -> None:
+class StoreClock(TestCase):
+    def test_clock_is_unknown_until_the_store_answers(self) -> None:
         async def scenario() -> None:
-            followed = feeds(MemoryRowStore())
-            followed.configuration.adopt([], 5, 0.0)
+            feeds = make_feeds(MemoryRowStore())
+            feeds.configuration.adopt([], 5, 0.0)
             with ExpectedException(StoreRefused):
-                followed.store_now_ms(asyncio.get_running_loop().time())
+                feeds.store_now_ms(asyncio.get_running_loop().time())
 
         run_paused(scenario())
 
-    def test_any_feed_that_was_answered_tells_it(self) -> None:
+    def test_clock_comes_from_any_feed_that_was_answered(self) -> None:
         async def scenario() -> None:
             loop = asyncio.get_running_loop()
-            followed = feeds(MemoryRowStore())
-            task = asyncio.create_task(followed.workers.run())
-            await followed.workers.loaded.wait()
-            told_ms = followed.workers.now_ms
+            feeds = make_feeds(MemoryRowStore())
+            task = asyncio.create_task(feeds.workers.run())
+            await feeds.workers.loaded.wait()
+            clock_ms = feeds.workers.now_ms
             await asyncio.sleep(0.5)
-            self.assertAlmostEqual(told_ms + 500, followed.store_now_ms(loop.time()), delta=2)
+            self.assertAlmostEqual(clock_ms + 500, feeds.store_now_ms(loop.time()), delta=2)
             task.cancel()
 
         run_paused(scenario())
 
 
-class Calls(TestCase):
-    """How many calls the feeds make while nothing, or a job, changes."""
+class FeedCallRate(TestCase):
+    """Feeds must neither overload the store with calls nor detect changes or failures too late."""
 
-    async def calls_in(self, followed: ServingFeeds, span_s: float) -> dict[str, int]:
+    async def count_calls(self, feeds: ServingFeeds, duration_s: float) -> dict[str, int]:
         counts: Counter[str] = Counter()
-        watchers = (followed.configuration, followed.workers, followed.daemons, followed.jobs)
+        watchers = (feeds.configuration, feeds.workers, feeds.daemons, feeds.jobs)
         for watcher in watchers:
             step = watcher._step
 
-            async def counted(step: Any = step, table: str = watcher.table) -> bool:
+            async def counting_step(step: Any = step, table: str = watcher.table) -> bool:
                 counts[table] += 1
                 return bool(await step())
 
-            watcher._step = counted  # type: ignore[method-assign]
+            watcher._step = counting_step  # type: ignore[method-assign]
         tasks = [asyncio.create_task(watcher.run()) for watcher in watchers]
-        await asyncio.sleep(span_s)
+        await asyncio.sleep(duration_s)
         for task in tasks:
             task.cancel()
         return counts
 
-    def test_feeds_are_held_for_half_of_the_time_out_of_touch(self) -> None:
+    def test_long_polls_last_half_of_contact_s_or_cancel_s(self) -> None:
         async def scenario() -> None:
-            followed = feeds(MemoryRowStore())
-            followed.apply_settings(replace(settings_from(GOOD), contact_s=5.0, cancel_s=3.0))
-            counts = await self.calls_in(followed, 30.0)
-            self.assertTrue(12 <= counts[followed.workers.table] <= 14, counts)
-            self.assertTrue(20 <= counts[followed.jobs.table] <= 22, counts)
+            feeds = make_feeds(MemoryRowStore())
+            feeds.apply_settings(replace(settings_from(GOOD), contact_s=5.0, cancel_s=3.0))
+            counts = await self.count_calls(feeds, 30.0)
+            self.assertTrue(12 <= counts[feeds.workers.table] <= 14, counts)
+            self.assertTrue(20 <= counts[feeds.jobs.table] <= 22, counts)
 
         run_paused(scenario())
 
-    def test_a_held_feed_that_breaks_is_followed_again_within_the_time_out_of_touch(self) -> None:
+    def test_broken_long_poll_recovers_within_contact_s(self) -> None:
         for contact_s in (3.0, 5.0):
-            followed = feeds(MemoryRowStore())
-            followed.apply_settings(replace(settings_from(GOOD), contact_s=contact_s))
-            noticed_s = followed.workers.wait_s + FEED_SLACK_S + LONGEST_RETRY_S
-            self.assertLessEqual(noticed_s, contact_s)
-
-    def test_many_daemons_look_at_jobs_as_seldom_as_the_end_of_one_allows(self) -> None:
-        followed = feeds(MemoryRowStore())
-        followed.limit_job_polling(10, 3.0)
-        self.assertEqual(0.1, followed.jobs.pause_s)
-        followed.limit_job_polling(1000, 3.0)
-        self.assertEqual(1.0, followed.jobs.pause_s)
+            feeds = make_feeds(MemoryRowStore())
+            feeds.apply_settings(replace(settings_from(GOOD), contact_s=contact_s))
+            recovery_s = feeds.workers.wait_s + FEED_SLACK_S + LONGEST_RETRY_S
+            self.assertLessEqual(recovery_s, contact_s)
+
+    def test_job_feed_pause_grows_with_the_fleet_up_to_a_third_of_cancel_s(self) -> None:
+        feeds = make_feeds(MemoryRowStore())
+        feeds.limit_job_feed_rate(10, 3.0)
+        self.assertEqual(0.1, feeds.jobs.pause_s)
+        feeds.limit_job_feed_rate(1000, 3.0)
+        self.assertEqual(1.0, feeds.jobs.pause_s)
--- a/tests/stand_ins/harness.py
+++ b/tests/stand_ins/harness.py
@@ -1,4 +1,4 @@
-"""What tests of the serving path share: a directory of stand-in workers and a forwarder."""
+"""Shared fixtures for tests of the serving path."""
 
 from __future__ import annotations
 
@@ -37,22 +37,22 @@
 HOST = "caption.example"
 
 
-def run(work: Awaitable[Result]) -> Result:
-    """Run a coroutine to its end, within a generous time."""
-    return asyncio.run(asyncio.wait_for(work, TEST_TIMEOUT_S))  # type: ignore[arg-type]
+def run(awaitable: Awaitable[Result]) -> Result:
+    """Run ``awaitable`` to completion, for at most ``TEST_TIMEOUT_S``."""
+    return asyncio.run(asyncio.wait_for(awaitable, TEST_TIMEOUT_S))  # type: ignore[arg-type]
 
 
-async def eventually(condition: Any, what: str, timeout_s: float = 10.0) -> None:
-    """Wait until ``condition()`` holds."""
+async def eventually(condition: Any, description: str, timeout_s: float = 10.0) -> None:
+    """Wait until ``condition()`` holds; ``description`` names it in the error on a timeout."""
     deadline_s = asyncio.get_running_loop().time() + timeout_s
     while not condition():
         if asyncio.get_running_loop().time() > deadline_s:
-            raise AssertionError(f"not so after {timeout_s} s: {what}")
+            raise AssertionError(f"condition not met within {timeout_s} s: {description}")
         await asyncio.sleep(0.01)
 
 
 def route(kind: RequestKind, **changes: Any) -> Route:
-    """Return a route to the service ``llm``."""
+    """Return a route to the service ``llm``, with ``changes`` to its fields."""
     fields: dict[str, Any] = {
         "name": f"route-{kind.name.lower()}",
         "host": HOST,
@@ -69,40 +69,40 @@
 
 
 def configuration(*routes: Route, version: int = 1) -> Configuration:
-    """Return a configuration of routes."""
+    """Return a configuration with ``routes`` and the service ``llm``."""
     return Configuration(version, routes, {"llm": Service("llm", 100)}, ServerLimits())
 
 
 def record(worker: StandInWorker, slots: int = 4, version: int = 1) -> WorkerRecord:
-    """Return the record of a stand-in worker."""
+    """Return the directory record of a stand-in worker."""
     return WorkerRecord(
         worker.worker_id, "llm", "127.0.0.1", worker.port, "zone-a", slots, False, version
     )
 
 
 class RecordingLog(DecisionLog):
-    """A decision log that keeps its lines."""
+    """A decision log that stores its lines in memory."""
 
     def __init__(self) -> None:
         self.stream = io.StringIO()
         super().__init__("test", self.stream)
 
     def lines(self, event: str) -> list[dict[str, Any]]:
-        """Return the lines of one kind of event."""
+        """Return the lines of all events named ``event``, decoded."""
         parsed = [orjson.loads(line) for line in self.stream.getvalue().splitlines()]
         return [line for line in parsed if line["event"] == event]
 
 
 class Fleet:
-    """Stand-in workers and what the product keeps of them."""
+    """Stand-in workers, and the serving components of one daemon that uses them."""
 
     def __init__(self, *workers: StandInWorker) -> None:
         self.workers = workers
-        self.source = random.Random(7)
-        self.directory = WorkerDirectory("zone-a", self.source)
+        self.rng = random.Random(7)
+        self.directory = WorkerDirectory("zone-a", self.rng)
         self.connections = WorkerConnections()
         self.protocol = PlatformWorkerProtocol()
-        self.service_chooser = WeightedServiceChooser(self.source)
+        self.service_chooser = WeightedServiceChooser(self.rng)
         self.queue = OnlineQueue(self.directory, random.Random(2))
         self.batch_scheduler = BatchScheduler(self.directory, self.queue, random.Random(1))
         self.metrics = ServingMetrics()
@@ -110,11 +110,11 @@
         self.crash_detector = WorkerCrashDetector(self.connections, self.metrics, self.log)
         self.link = RecordingReportLink()
         self.quarantine = RequestQuarantine(
-            "test", self.crash_detector, self.link, self.source, self.metrics, self.log
+            "test", self.crash_detector, self.link, self.rng, self.metrics, self.log
         )
 
     async def __aenter__(self) -> Fleet:
-        """Start the workers and list them."""
+        """Start the workers and add them to the directory."""
         now_s = asyncio.get_running_loop().time()
         for worker in self.workers:
             await worker.start()
