--- a/mountstand/quarantine/reports.py
+++ b/mountstand/quarantine/reports.py
@@ -1,6 +1,6 @@
-"""What daemons tell each other of contents that crash workers.
+"""Converts between crash suspects and the reports that daemons exchange about them.
 
-Ages stand in place of times, since daemons share no clock.
+Reports carry ages instead of times, since daemons share no clock.
 """
 
 from __future__ import annotations
@@ -12,29 +12,30 @@
 from mountstand.wire.gossip import NEVER_SERVED, CrashReport, SuspectEntry
 
 ENTRIES_PER_REPORT = 8
-"""At most 135 bytes each, so that a report stays within a datagram of 1,200 bytes."""
+"""An entry takes up to 135 bytes, so that a report fits into a datagram of 1,200 bytes."""
 
 
-def report_of(suspects: CrashSuspects, contents: Iterable[int], now_s: float) -> CrashReport:
-    """Return what is known of some contents."""
+def build_report(suspects: CrashSuspects, contents: Iterable[int], now_s: float) -> CrashReport:
+    """Return a report on those of ``contents`` that are suspected."""
     known = [content for content in contents if content in suspects.by_content]
     return CrashReport(tuple(_entry(suspects, content, now_s) for content in known))
 
 
-def reports_of(suspects: CrashSuspects, contents: list[int], now_s: float) -> list[CrashReport]:
-    """Return what is known of any number of contents, in reports that fit a datagram."""
+def build_reports(suspects: CrashSuspects, contents: list[int], now_s: float) -> list[CrashReport]:
+    """Return as many reports as needed for each to fit into one datagram."""
     starts = range(0, len(contents), ENTRIES_PER_REPORT)
     return [
-        report_of(suspects, contents[start : start + ENTRIES_PER_REPORT], now_s) for start in starts
+        build_report(suspects, contents[start : start + ENTRIES_PER_REPORT], now_s)
+        for start in starts
     ]
 
 
-def take_report(suspects: CrashSuspects, report: CrashReport, now_s: float) -> list[int]:
-    """Merge a report; returns the contents of which it said something new."""
+def merge_report(suspects: CrashSuspects, report: CrashReport, now_s: float) -> list[int]:
+    """Merge a report; return the contents of which it had new evidence."""
     return [
         entry.content
         for entry in report.suspects
-        if suspects.merge(entry.content, *_times(entry, now_s))
+        if suspects.merge(entry.content, *_evidence(entry, now_s))
     ]
 
 
@@ -44,20 +45,20 @@
     return SuspectEntry(
         content,
         tuple(suspect.crash_by_worker),
-        tuple(_age_ms(now_s, end.at_s) for end in suspect.crash_by_worker.values()),
-        tuple(round(end.ran_s * 1000) for end in suspect.crash_by_worker.values()),
+        tuple(_age_ms(now_s, crash.at_s) for crash in suspect.crash_by_worker.values()),
+        tuple(round(crash.run_duration_s * 1000) for crash in suspect.crash_by_worker.values()),
         _age_ms(now_s, suspect.served_at_s) if served else NEVER_SERVED,
         suspect.trials.count,
         _age_ms(now_s, suspect.trials.last_at_s) if suspect.trials.count else 0,
     )
 
 
-def _times(entry: SuspectEntry, now_s: float) -> tuple[dict[int, WorkerCrash], float, Trials]:
-    """Return the ends of workers, by their keys, when the content was served, and its trials."""
-    told = zip(entry.workers, entry.ages_ms, entry.ran_ms, strict=False)
+def _evidence(entry: SuspectEntry, now_s: float) -> tuple[dict[int, WorkerCrash], float, Trials]:
+    """Return crashes by worker key, the time of the last success, and the trials."""
+    reported = zip(entry.workers, entry.ages_ms, entry.ran_ms, strict=False)
     crash_by_worker = {
         worker: WorkerCrash(now_s - max(0, age_ms) / 1000, max(0, ran_ms) / 1000)
-        for worker, age_ms, ran_ms in told
+        for worker, age_ms, ran_ms in reported
     }
     served_at_s = NEVER_S
     if entry.served_ms != NEVER_SERVED:
--- a/mountstand/quarantine/separation.py
+++ b/mountstand/quarantine/separation.py
@@ -1,11 +1,11 @@
-"""Keeps strong suspects apart, so that the next crash tells which of them is the cause.
-
-Items of one job, or requests that broke at the same moment, are tried again at the same moment, and
-often at the same worker: those beside the cause would be there at every end, too. So two contents
-under which two workers or more ended do not run at one worker at a time. What other daemons have in
-flight is not known in time, so each worker is for one of these contents by rendezvous hashing, and
-all daemons that have heard of the same ends come to the same. Contents with fewer ends run
-anywhere; keeping those apart would hold up batch work for nothing.
+"""Anti-affinity for strong suspects: keeps them on different workers, to isolate the cause.
+
+Items of one job, or requests whose connections broke together, are retried together and often on
+the same worker. Innocent ones would then be present at every crash that the cause produces.
+Therefore no two strong suspects run on the same worker at the same time. A daemon doesn't know in
+time what others have in flight, so recent suspects get workers reserved by rendezvous hashing:
+daemons with the same evidence arrive at the same reservations. Contents with a single crash run on
+any worker, since separating those would delay batch work without need.
 """
 
 from __future__ import annotations
@@ -16,22 +16,24 @@
 from mountstand.hashing import content_name, rendezvous_weight
 from mountstand.quarantine.suspects import CrashSuspects
 
-LATELY_S = 10.0
-"""For so long after its last end a content has workers kept for it: what is tried again comes
-within seconds, and one that never comes again must not take workers from the others."""
+RESERVATION_S = 10.0
+"""How long workers stay reserved for a content after its last crash, or after its trial became due
+or started. Retries arrive within seconds; a content that never returns must release its workers.
+"""
 
-MOST_KEPT_APART = 4
-"""So many contents at most have workers kept for them. A crashing request makes strong suspects of
-the two or three that were beside it twice; dozens come of a rack or zone that failed twice, and
-would leave most of them without a worker."""
+MAX_CONTENTS_WITH_RESERVATIONS = 4
+"""Contents that may have workers reserved at the same time. A crashing request makes strong
+suspects of the two or three contents that ran next to it twice. Dozens at once point to a failure
+of a rack or zone; reservations would then leave most of them without a worker."""
 
-MOST_TRIALS = 16
-"""So many contents that were held back at most have workers kept for their trials. Each runs there
-for a moment and is cleared or blocked; with more, most of them were merely there."""
+MAX_TRIALS_WITH_RESERVATIONS = 16
+"""Limit on trials if more than ``MAX_CONTENTS_WITH_RESERVATIONS`` contents would need reservations:
+then only contents that require a trial get them, up to this many. A trial occupies its worker only
+briefly; beyond this number, most of the contents are probably innocent."""
 
 
 class SuspectSeparation:
-    """The strong suspects that this daemon has in flight, by worker."""
+    """Tracks the strong suspects that this daemon has in flight, by worker."""
 
     __slots__ = ("_in_flight_by_worker", "_suspects")
 
@@ -40,41 +42,55 @@
         self._in_flight_by_worker: dict[str, Counter[int]] = {}
 
     def allows(self, content: int, worker_id: str, now_s: float) -> bool:
-        """Return whether a content may be sent to a worker beside other strong suspects."""
+        """Return whether a content may be sent to a worker.
+
+        Refused for a strong suspect if this daemon has another strong suspect in flight there, or
+        if it competes for reservations and the worker is reserved for another content. A strong
+        suspect that doesn't compete for reservations may also use reserved workers.
+        """
         if not self._suspects.is_strong(content):
             return True
-        others = self._in_flight_by_worker.get(worker_id)
-        if others and not set(others) <= {content}:
+        in_flight = self._in_flight_by_worker.get(worker_id)
+        if in_flight and not set(in_flight) <= {content}:
             return False
-        kept = self._kept_apart(content, now_s)
-        if content not in kept:
+        candidates = self._contents_with_reservations(content, now_s)
+        if content not in candidates:
             return True
         name = content_name
-        return content == max(kept, key=lambda each: rendezvous_weight(worker_id, name(each)))
+        return content == max(candidates, key=lambda each: rendezvous_weight(worker_id, name(each)))
 
-    def _kept_apart(self, content: int, now_s: float) -> list[int]:
-        """Return the contents that have workers kept for them, none if there are too many.
+    def _contents_with_reservations(self, content: int, now_s: float) -> list[int]:
+        """Return the contents with which ``content`` competes for reserved workers, and itself.
 
-        A trial tells nothing beside another suspect, so trials go before those that merely are
-        strong.
+        If there are more than ``MAX_CONTENTS_WITH_RESERVATIONS``, only contents that require a
+        trial keep reservations, and the list is empty for any other ``content``. It is also empty
+        if there are more than ``MAX_TRIALS_WITH_RESERVATIONS`` of those.
+
+        Trials take precedence, since a crash during a trial is inconclusive if another suspect was
+        running on the worker.
         """
         suspects = self._suspects
-        trials = list(islice(suspects.trials_lately(now_s, LATELY_S), MOST_TRIALS + 1))
-        lately = suspects.strong_lately(now_s, LATELY_S)
-        strong = list(islice(lately, MOST_KEPT_APART + 1))
-        if len(trials) + len(strong) <= MOST_KEPT_APART:
+        trials = list(
+            islice(suspects.recent_trials(now_s, RESERVATION_S), MAX_TRIALS_WITH_RESERVATIONS + 1)
+        )
+        recent = suspects.recent_strong_suspects(now_s, RESERVATION_S)
+        strong = list(islice(recent, MAX_CONTENTS_WITH_RESERVATIONS + 1))
+        if len(trials) + len(strong) <= MAX_CONTENTS_WITH_RESERVATIONS:
             return trials + strong
-        return trials if content in trials and len(trials) <= MOST_TRIALS else []
+        return trials if content in trials and len(trials) <= MAX_TRIALS_WITH_RESERVATIONS else []
+
+    def track_run(self, content: int, worker_id: str) -> bool:
+        """Record that a content is sent to a worker.
 
-    def enter(self, content: int, worker_id: str) -> bool:
-        """Note a content that is sent to a worker; returns whether it must be told to leave."""
+        Returns whether it is tracked: the caller must then call :meth:`release_run`.
+        """
         if not self._suspects.is_strong(content):
             return False
         self._in_flight_by_worker.setdefault(worker_id, Counter())[content] += 1
         return True
 
-    def leave(self, content: int, worker_id: str) -> None:
-        """Note that an exchange that entered is over."""
+    def release_run(self, content: int, worker_id: str) -> None:
+        """Record that a run tracked by :meth:`track_run` is over."""
         contents = self._in_flight_by_worker[worker_id]
         contents[content] -= 1
         if not contents[content]:
--- a/mountstand/quarantine/service.py
+++ b/mountstand/quarantine/service.py
@@ -1,7 +1,7 @@
-"""Holds back requests that crash workers: the part of one serving process.
+"""Quarantines requests that crash workers; runs on the event loop of a serving process.
 
-All daemons hold a content back within moments of the third end under it, wherever it comes, and
-whether or not the store serves them (:mod:`mountstand.quarantine.sharing`).
+All daemons block a content within moments of its third worker crash, wherever the crashes were
+observed and even if the store is unavailable (:mod:`mountstand.quarantine.sharing`).
 """
 
 from __future__ import annotations
@@ -27,90 +27,91 @@
 from mountstand.telemetry.serving_metrics import ServingMetrics
 
 TICK_S = 0.1
-"""How often it is looked whether something is to be told, while anything is known."""
+"""Interval of :meth:`SuspectSharing.tick` while there are suspects or outstanding queries."""
 
 
 class RequestQuarantine(WorkerCrashObserver, SuspectObserver):
-    """Decides which requests may be sent to workers.
+    """Decides which requests may be sent to workers, on the event loop.
 
-    ``own`` is the name of this daemon. ``on_blocked`` is told of each content that becomes blocked.
+    The counterpart for threads is :class:`mountstand.quarantine.threads.ContentQuarantine`.
+    ``daemon_name`` names this daemon. ``on_blocked`` is called with each newly blocked content.
     """
 
     def __init__(
         self,
-        own: str,
-        ends: WorkerCrashDetector,
+        daemon_name: str,
+        crash_detector: WorkerCrashDetector,
         link: ReportLink,
         rng: random.Random,
         metrics: ServingMetrics,
         log: DecisionLog,
     ) -> None:
-        self._ends = ends
+        self._crash_detector = crash_detector
         self._metrics = metrics
         self._log = log
-        self._sharing = SuspectSharing(own, link, rng)
+        self._sharing = SuspectSharing(daemon_name, link, rng)
         self._sharing.observer = self
         self.suspects = self._sharing.suspects
         self._separation = SuspectSeparation(self.suspects)
         self._stored: StoredSuspects | None = None
         self.on_blocked: Callable[[int], None] = lambda content: None
-        self._wakened = asyncio.Event()
-        ends.observers.append(self)
+        self._wake_event = asyncio.Event()
+        crash_detector.observers.append(self)
 
-    # What the serving path asks and tells
+    # Called by the serving path
 
     def blocked_for_s(self, call: Call) -> float:
-        """Return for how long a request may not be sent to workers, 0 if it may be."""
+        """Return the remaining block time of a request, 0 if it may be sent to workers."""
         if not self.suspects.any_blocked:
             return 0.0
         now_s = asyncio.get_running_loop().time()
         return self.suspects.blocked_for_s(call.content_key, now_s)
 
     def note_broken(self, worker: Worker, call: Call, sent_at_s: float) -> None:
-        """Note that an exchange broke at a worker after the request was sent."""
-        self._ends.note_broken(worker, call, sent_at_s)
+        """Record that the connection to a worker broke after the request was sent."""
+        self._crash_detector.note_broken(worker, call, sent_at_s)
 
     async def wait_until_checked(self, worker: Worker) -> None:
-        """Wait until it is known whether a worker at which an exchange broke has ended."""
-        await self._ends.wait_until_checked(worker)
+        """Wait for the pending crash check of a worker, if there is one, up to a timeout."""
+        await self._crash_detector.wait_until_checked(worker)
 
     def is_suspect(self, call: Call) -> bool:
-        """Return whether a worker ended under a request's content lately."""
+        """Return whether a request's content has worker crashes that no success has cleared."""
         if not self.suspects:
             return False
         suspect = self.suspects.by_content.get(call.content_key)
         return suspect is not None and bool(suspect.crash_by_worker)
 
     def allows(self, call: Call, worker: Worker) -> bool:
-        """Return whether a request may run at a worker beside what this daemon has there."""
+        """Return whether a request may run on a worker (:meth:`SuspectSeparation.allows`)."""
         if not self.suspects:
             return True
         now_s = asyncio.get_running_loop().time()
         return self._separation.allows(call.content_key, worker.record.worker_id, now_s)
 
     def requires_trial(self, call: Call) -> bool:
-        """Return whether a request may run only where no other suspect does."""
-        return self.suspects.any_on_trial and self.suspects.is_on_trial(call.content_key)
+        """Return whether a request requires a trial, apart from other strong suspects."""
+        return self.suspects.any_trial_required and self.suspects.requires_trial(call.content_key)
 
     @contextmanager
     def running(self, call: Call, worker: Worker) -> Iterator[None]:
-        """Keep other suspects away from a worker while a suspect runs there.
+        """Track the run of a strong suspect, so that this daemon sends no other one to the worker.
 
-        Call it at the moment that :meth:`blocked_for_s` and :meth:`allows` were asked: the trial
-        of a content that was held back begins here, and holds it back everywhere else.
+        Enter it right after :meth:`blocked_for_s` and :meth:`allows`, without awaiting in between.
+        If the content requires a trial, the trial starts here and blocks it on all daemons.
         """
         worker_id = worker.record.worker_id
         if self.requires_trial(call):
             self._begin_trial(call, worker_id)
-        entered = bool(self.suspects) and self._separation.enter(call.content_key, worker_id)
+        tracked = bool(self.suspects) and self._separation.track_run(call.content_key, worker_id)
         try:
             yield
         finally:
-            if entered:
-                self._separation.leave(call.content_key, worker_id)
+            if tracked:
+                self._separation.release_run(call.content_key, worker_id)
 
     def _begin_trial(self, call: Call, worker_id: str) -> None:
-        self._sharing.begin(call.content_key, asyncio.get_running_loop().time())
+        self._sharing.begin_run(call.content_key, asyncio.get_running_loop().time())
         self._log.event(
             "suspect_tried",
             content=content_name(call.content_key),
@@ -120,7 +121,7 @@
         )
 
     def note_served(self, call: Call) -> None:
-        """Note that a worker answered a request whole: what is served does not crash workers."""
+        """Record that a worker answered a request completely, which clears its content."""
         if not self.suspects:
             return
         content = call.content_key
@@ -129,64 +130,64 @@
             self._log.event("suspect_cleared", content=name, request=call.request_id)
 
     def on_worker_crash(
-        self, worker: Worker, sent_at_s: Mapping[int, float], ended_at_s: float
+        self, worker: Worker, sent_at_s: Mapping[int, float], crashed_at_s: float
     ) -> None:
-        """Suspect all contents that broke as a worker ended."""
+        """Suspect the contents whose connections from this daemon broke when the worker crashed."""
         now_s = asyncio.get_running_loop().time()
-        self._sharing.note_worker_crash(worker.key, ended_at_s, sent_at_s, now_s)
-        self._wakened.set()
+        self._sharing.note_worker_crash(worker.key, crashed_at_s, sent_at_s, now_s)
+        self._wake_event.set()
 
-    # Other daemons and the store
+    # Sharing with other daemons and the store
 
     def attach_store(self, stored: StoredSuspects) -> None:
-        """Keep suspects in the store, and take what its rows say."""
+        """Persist suspects in the store, and merge what other daemons have stored."""
         self._stored = stored
-        stored.on_news = self._note_stored
+        stored.on_change = self._note_stored
 
     def handle(self, sender: str, message: QuarantineMessage) -> None:
-        """Take what another daemon tells, or answer it."""
+        """Merge a report from another daemon, or answer its query."""
         self._sharing.handle(sender, message, asyncio.get_running_loop().time())
-        self._wakened.set()
+        self._wake_event.set()
 
     def query_peers(self) -> None:
-        """Ask other daemons what they know: this one starts, or stood still."""
+        """Query peers for their suspects, after a start or a suspension of this daemon."""
         self._sharing.query_peers()
-        self._wakened.set()
+        self._wake_event.set()
 
     async def run(self) -> None:
-        """Ask once, then tell again, remind and forget, until cancelled."""
+        """Query peers, then exchange and expire suspects while there are any, until cancelled."""
         self.query_peers()
         while True:
             if self._sharing.idle:
-                self._wakened.clear()
-                await self._wakened.wait()
+                self._wake_event.clear()
+                await self._wake_event.wait()
             await asyncio.sleep(TICK_S)
             self._sharing.tick(asyncio.get_running_loop().time())
-            self._metrics.contents_blocked(len(self._sharing.blocked))
-            self._remove_forgotten()
+            self._metrics.contents_blocked(len(self._sharing.last_blocked))
+            self._remove_stale_rows()
 
     def _note_stored(self) -> None:
         self._sharing.note_stored(asyncio.get_running_loop().time())
-        self._wakened.set()
+        self._wake_event.set()
 
-    def _remove_forgotten(self) -> None:
-        """Remove rows of contents that are not known any more; one daemon does so for each."""
+    def _remove_stale_rows(self) -> None:
+        """Remove rows of contents no longer suspected. One daemon is responsible for each row."""
         if self._stored is None:
             return
-        for content in self._stored.forgotten_rows():
-            if self._sharing.is_keeper(content_name(content)):
-                self._stored.want(content)
+        for content in self._stored.contents_with_stale_row():
+            if self._sharing.owns_cleanup(content_name(content)):
+                self._stored.request_write(content)
 
     # SuspectObserver
 
-    def store(self, contents: Iterable[int]) -> None:
-        """Have contents written to the store."""
+    def persist(self, contents: Iterable[int]) -> None:
+        """Schedule writes of contents to the store."""
         if self._stored is not None:
             for content in contents:
-                self._stored.want(content)
+                self._stored.request_write(content)
 
-    def note_blocked(self, content: int, source: str) -> None:
-        """Tell of a content that is held back from now on, and of what is known of it."""
+    def on_content_blocked(self, content: int, source: str) -> None:
+        """Log a newly blocked content with its evidence, and call ``on_blocked``."""
         crash_by_worker = self.suspects.by_content[content].crash_by_worker
         now_s = asyncio.get_running_loop().time()
         self._log.event(
@@ -195,7 +196,7 @@
             ends=len(crash_by_worker),
             workers=sorted(crash_by_worker),
             for_s=round(self.suspects.blocked_for_s(content, now_s), 1),
-            trial=self.suspects.is_on_trial(content),
+            trial=self.suspects.requires_trial(content),
             source=source,
         )
         self.on_blocked(content)
--- a/mountstand/quarantine/sharing.py
+++ b/mountstand/quarantine/sharing.py
@@ -1,8 +1,9 @@
-"""What daemons tell each other of contents that crash workers, as a pure state machine.
+"""Shares evidence on crash suspects between daemons, as a pure state machine.
 
-Both interfaces drive it, one from an event loop and one from threads: it is handed the time, and
-sends through a link. News of its own is told at once and twice more; a daemon that starts, or stood
-still, asks others; and what is known is told again now and then, which repairs the rest.
+Driven by the event loop of :mod:`mountstand.quarantine.service` and by the threads of
+:mod:`mountstand.quarantine.threads`: the caller passes the time, and messages leave through a link.
+A daemon reports its own observations at once and retransmits them twice. It queries peers when it
+starts or resumes after a suspension. Periodic anti-entropy reports repair what is still missing.
 """
 
 from __future__ import annotations
@@ -12,205 +13,223 @@
 from collections.abc import Collection, Iterable, Mapping
 
 from mountstand.hashing import rendezvous_owner
-from mountstand.quarantine.reports import ENTRIES_PER_REPORT, reports_of, take_report
+from mountstand.quarantine.reports import ENTRIES_PER_REPORT, build_reports, merge_report
 from mountstand.quarantine.suspect import WorkerCrash
 from mountstand.quarantine.suspects import CrashSuspects
 from mountstand.wire.gossip import CrashQuery, CrashReport
 
-REPEAT_AFTER_S = (0.3, 1.0)
-"""News is told again so long after it was told first: datagrams get lost, three in a row seldom."""
+RETRANSMIT_DELAYS_S = (0.3, 1.0)
+"""Delays from the first report of an observation to its retransmissions, against packet loss."""
 
-REMIND_S = 2.0
-"""How often one other daemon is told some of all that is known, which repairs what repeats missed.
-A report is at most 1.2 KB, so this costs 0.6 KB/s, and nothing where no worker ended lately."""
+ANTI_ENTROPY_INTERVAL_S = 2.0
+"""Interval at which part of the known suspects is reported to one random peer. A report takes at
+most 1.2 KB, so this costs up to 0.6 KB/s, and nothing while there are no suspects."""
 
-EXPIRE_S = 5.0
-"""How often contents of which nothing is heard are looked for."""
+EXPIRE_INTERVAL_S = 5.0
+"""Interval at which expired suspects are removed."""
 
-ASK_PAUSE_S = 0.5
-MOST_ASKS = 20
-PEERS_ASKED = 2
-"""A daemon that starts asks so many others, again after the pause until one has answered. It may
-know none for some seconds, while it learns of them."""
+QUERY_INTERVAL_S = 0.5
+MAX_QUERIES = 20
+PEERS_PER_QUERY = 2
+"""A daemon queries this many random peers every ``QUERY_INTERVAL_S`` until one answers, at most
+``MAX_QUERIES`` times. After a start it may know no peers for some seconds, until it has joined the
+membership."""
 
-MOST_ANSWERED = 8 * ENTRIES_PER_REPORT
-"""Contents told to a daemon that asks, the strongest first; blocked ones are hardly ever more."""
+MAX_ENTRIES_PER_REPLY = 8 * ENTRIES_PER_REPORT
+"""Entries in the reply to a query, strongest suspects first. More contents than that are rarely
+blocked."""
 
 QuarantineMessage = CrashReport | CrashQuery
 
 
 class ReportLink(ABC):
-    """How reports reach other daemons, and which there are."""
+    """Sends messages to the other daemons, and knows which of them are up.
+
+    Daemons are named by their member ids.
+    """
 
     __slots__ = ()
 
     @abstractmethod
     def running(self) -> Collection[str]:
-        """Return the other daemons that are believed to run."""
+        """Return the names of the other daemons that are believed to be up."""
 
     @abstractmethod
     def serving(self) -> Collection[str]:
-        """Return those of them that callers are sent to."""
+        """Return those of the running daemons to which callers are routed."""
 
     @abstractmethod
     def send(self, message: QuarantineMessage, receivers: Collection[str]) -> None:
-        """Send a message to daemons; it may get lost."""
+        """Send a message to daemons, without guarantee of delivery."""
 
 
 class SuspectObserver(ABC):
-    """Is told what changes in the suspects of a daemon."""
+    """Receives changes in the suspects of a daemon."""
 
     __slots__ = ()
 
     @abstractmethod
-    def note_blocked(self, content: int, source: str) -> None:
-        """Take a content that has just become blocked; ``source`` told the last end."""
+    def on_content_blocked(self, content: int, source: str) -> None:
+        """Handle a newly blocked content.
+
+        ``source`` names the daemon whose report led to the block, which is the own daemon for its
+        observations and expired suspects. It is "store" for stored suspects.
+        """
 
     @abstractmethod
-    def store(self, contents: Iterable[int]) -> None:
-        """Keep what is known of contents; this daemon saw something new of them."""
+    def persist(self, contents: Iterable[int]) -> None:
+        """Persist contents for which this daemon has observed new evidence."""
 
 
 class SuspectSharing:
-    """The suspects of one daemon; ``own`` is its name."""
+    """Holds the suspects of the daemon named ``daemon_name`` and exchanges them with its peers."""
 
-    def __init__(self, own: str, link: ReportLink, rng: random.Random) -> None:
-        self._own = own
+    def __init__(self, daemon_name: str, link: ReportLink, rng: random.Random) -> None:
+        self._daemon_name = daemon_name
         self._link = link
         self._rng = rng
-        self.suspects = CrashSuspects(own)
+        self.suspects = CrashSuspects(daemon_name)
         self.observer: SuspectObserver | None = None
-        self.blocked: set[int] = set()
-        self._to_repeat: list[tuple[float, int]] = []
-        self._asks_left = 0
-        self._ask_at_s = self._remind_at_s = self._expire_at_s = 0.0
+        self.last_blocked: set[int] = set()
+        """Contents blocked at the last update, to detect newly blocked ones."""
+
+        self._retransmissions: list[tuple[float, int]] = []
+        self._queries_left = 0
+        self._next_query_s = self._next_anti_entropy_s = self._next_expire_s = 0.0
 
     @property
     def idle(self) -> bool:
-        """Whether :meth:`tick` has nothing to do until something is heard."""
-        return not self.suspects and not self._asks_left
+        """Whether :meth:`tick` has nothing to do until new evidence arrives."""
+        return not self.suspects and not self._queries_left
 
     def note_worker_crash(
-        self, worker: int, ended_at_s: float, sent_at_s: Mapping[int, float], now_s: float
+        self, worker: int, crashed_at_s: float, sent_at_s: Mapping[int, float], now_s: float
     ) -> None:
-        """Suspect the contents that broke as the worker with key ``worker`` ended.
+        """Suspect the contents whose runs broke when the worker with key ``worker`` crashed.
 
-        ``sent_at_s`` is when each of them was sent there.
+        ``sent_at_s`` maps each of them to the time when it was sent to the worker.
         """
-        news = []
+        changed = []
         for content, sent_s in sorted(sent_at_s.items()):
-            end = WorkerCrash(ended_at_s, max(0.0, ended_at_s - sent_s))
-            if self.suspects.merge(content, {worker: end}):
-                news.append(content)
-        self._take_own(news, now_s)
+            crash = WorkerCrash(crashed_at_s, max(0.0, crashed_at_s - sent_s))
+            if self.suspects.merge(content, {worker: crash}):
+                changed.append(content)
+        self._publish(changed, now_s)
 
-    def begin(self, content: int, now_s: float) -> bool:
-        """Note that a content is sent to a worker now; returns whether it may be.
+    def begin_run(self, content: int, now_s: float) -> bool:
+        """Record that a content is about to be sent to a worker; return whether it may be.
 
-        One that waits for its trial is tried by one daemon at a time: the first tells the others,
-        and all hold it back until its end is known.
+        If the content requires a trial, the trial starts: the other daemons are notified and block
+        the content until the outcome is known, so that only one daemon tries it at a time.
         """
         if self.suspects.blocked_for_s(content, now_s):
             return False
-        if self.suspects.is_on_trial(content):
+        if self.suspects.requires_trial(content):
             self.suspects.begin_trial(content, now_s)
-            self._take_own([content], now_s)
+            self._publish([content], now_s)
         return True
 
     def note_served(self, content: int, now_s: float) -> bool:
-        """Clear a content that a worker answered whole; returns whether it was suspected."""
+        """Clear a content that was served completely; return whether it was suspected."""
         if not self.suspects.note_served(content, now_s):
             return False
-        self._take_own([content], now_s)
+        self._publish([content], now_s)
         return True
 
     def note_stored(self, now_s: float) -> None:
-        """Take note that rows of the store were merged into the suspects."""
+        """Update the blocked contents after rows of the store were merged into the suspects."""
         self._update_blocked("store", now_s)
 
     def handle(self, sender: str, message: QuarantineMessage, now_s: float) -> None:
-        """Take what another daemon tells, or answer it."""
+        """Merge a report from another daemon, or answer its query."""
         if isinstance(message, CrashQuery):
-            strongest = self.suspects.strongest()[:MOST_ANSWERED]
-            for report in reports_of(self.suspects, strongest, now_s) or [CrashReport()]:
+            strongest = self.suspects.strongest_first()[:MAX_ENTRIES_PER_REPLY]
+            for report in build_reports(self.suspects, strongest, now_s) or [CrashReport()]:
                 self._link.send(report, (sender,))
             return
-        self._asks_left = 0
-        if take_report(self.suspects, message, now_s):
+        self._queries_left = 0
+        if merge_report(self.suspects, message, now_s):
             self._update_blocked(sender, now_s)
 
     def query_peers(self) -> None:
-        """Ask other daemons what they know, until one has answered or none does for long."""
-        self._asks_left = MOST_ASKS
-        self._ask_at_s = 0.0
+        """Query peers for their suspects until one answers, at most ``MAX_QUERIES`` times."""
+        self._queries_left = MAX_QUERIES
+        self._next_query_s = 0.0
 
     def tick(self, now_s: float) -> None:
-        """Ask, tell again, remind and forget what is due; call several times a second."""
-        if self._asks_left and now_s >= self._ask_at_s:
-            self._ask_at_s = now_s + ASK_PAUSE_S
-            self._asks_left -= 1
-            self._link.send(CrashQuery(), self._some_peers(PEERS_ASKED))
-        self._repeat(now_s)
-        if self.suspects and now_s >= self._remind_at_s:
-            self._remind_at_s = now_s + REMIND_S
-            self._remind(now_s)
-        if now_s >= self._expire_at_s:
-            self._expire_at_s = now_s + EXPIRE_S
+        """Send due queries, retransmissions and anti-entropy reports, and expire suspects.
+
+        Call this several times a second.
+        """
+        if self._queries_left and now_s >= self._next_query_s:
+            self._next_query_s = now_s + QUERY_INTERVAL_S
+            self._queries_left -= 1
+            self._link.send(CrashQuery(), self._random_peers(PEERS_PER_QUERY))
+        self._retransmit(now_s)
+        if self.suspects and now_s >= self._next_anti_entropy_s:
+            self._next_anti_entropy_s = now_s + ANTI_ENTROPY_INTERVAL_S
+            self._send_anti_entropy(now_s)
+        if now_s >= self._next_expire_s:
+            self._next_expire_s = now_s + EXPIRE_INTERVAL_S
             self.suspects.expire(now_s)
-            self._update_blocked(self._own, now_s)
+            self._update_blocked(self._daemon_name, now_s)
 
-    def is_keeper(self, name: str) -> bool:
-        """Return whether this daemon is the one to remove what is kept under ``name``."""
-        return rendezvous_owner(name, [self._own, *self._link.running()]) == self._own
+    def owns_cleanup(self, name: str) -> bool:
+        """Return whether this daemon is responsible for removing the stored row ``name``."""
+        return (
+            rendezvous_owner(name, [self._daemon_name, *self._link.running()]) == self._daemon_name
+        )
 
-    def _take_own(self, news: list[int], now_s: float) -> None:
-        """Tell others what this daemon saw itself, and keep it."""
-        if not news:
+    def _publish(self, contents: list[int], now_s: float) -> None:
+        """Report what this daemon has observed of contents, and persist it."""
+        if not contents:
             return
-        self._tell(news, now_s)
-        self._to_repeat += [(now_s + s, content) for s in REPEAT_AFTER_S for content in news]
+        self._report(contents, now_s)
+        self._retransmissions += [
+            (now_s + delay_s, content) for delay_s in RETRANSMIT_DELAYS_S for content in contents
+        ]
         if self.observer is not None:
-            self.observer.store(news)
-        self._update_blocked(self._own, now_s)
+            self.observer.persist(contents)
+        self._update_blocked(self._daemon_name, now_s)
 
     def _update_blocked(self, source: str, now_s: float) -> None:
         blocked = self.suspects.blocked_contents(now_s)
-        newly = blocked - self.blocked
-        self.blocked = blocked
+        newly_blocked = blocked - self.last_blocked
+        self.last_blocked = blocked
         if self.observer is not None:
-            for content in sorted(newly):
-                self.observer.note_blocked(content, source)
+            for content in sorted(newly_blocked):
+                self.observer.on_content_blocked(content, source)
 
-    def _tell(self, contents: Iterable[int], now_s: float) -> None:
-        """Tell weak suspects to daemons that callers are sent to, all others to every daemon."""
+    def _report(self, contents: Iterable[int], now_s: float) -> None:
+        """Report weak suspects to serving daemons only, strong and cleared ones to all daemons."""
         weak: list[int] = []
-        strong: list[int] = []
+        strong_or_cleared: list[int] = []
         for content in contents:
             suspect = self.suspects.by_content.get(content)
             if suspect is not None:
                 is_weak = suspect.crash_by_worker and not self.suspects.is_strong(content)
-                (weak if is_weak else strong).append(content)
+                (weak if is_weak else strong_or_cleared).append(content)
         self._send(weak, self._link.serving(), now_s)
-        self._send(strong, self._link.running(), now_s)
+        self._send(strong_or_cleared, self._link.running(), now_s)
 
     def _send(self, contents: list[int], receivers: Collection[str], now_s: float) -> None:
-        for report in reports_of(self.suspects, contents, now_s):
+        for report in build_reports(self.suspects, contents, now_s):
             self._link.send(report, receivers)
 
-    def _repeat(self, now_s: float) -> None:
-        due = {content for at_s, content in self._to_repeat if at_s <= now_s}
+    def _retransmit(self, now_s: float) -> None:
+        due = {content for at_s, content in self._retransmissions if at_s <= now_s}
         if due:
-            self._to_repeat = [entry for entry in self._to_repeat if entry[0] > now_s]
-            self._tell(sorted(due), now_s)
+            self._retransmissions = [entry for entry in self._retransmissions if entry[0] > now_s]
+            self._report(sorted(due), now_s)
 
-    def _remind(self, now_s: float) -> None:
-        """Tell another daemon half a report of the strongest suspects, and some of the others."""
-        strongest = self.suspects.strongest()
+    def _send_anti_entropy(self, now_s: float) -> None:
+        """Report to a random peer: half a report on the strongest suspects, half on random ones."""
+        strongest = self.suspects.strongest_first()
         half = ENTRIES_PER_REPORT // 2
         others = strongest[half:]
-        told = strongest[:half] + self._rng.sample(others, min(half, len(others)))
-        self._send(told, self._some_peers(1), now_s)
+        selected = strongest[:half] + self._rng.sample(others, min(half, len(others)))
+        self._send(selected, self._random_peers(1), now_s)
 
-    def _some_peers(self, count: int) -> list[str]:
+    def _random_peers(self, count: int) -> list[str]:
         peers = sorted(self._link.running())
         return self._rng.sample(peers, min(count, len(peers)))
--- a/mountstand/quarantine/stored.py
+++ b/mountstand/quarantine/stored.py
@@ -1,7 +1,7 @@
-"""Keeps suspected contents in the store, so that they outlive the loss of all daemons.
+"""Persists strong suspects in the store, so that they survive a restart of all daemons.
 
-One row per strong suspect, under which two workers or more ended: the many that merely ran beside a
-crash are seldom there twice. A row holds all that its writer knew, so that the last written wins.
+Weak suspects, with a single worker crash, are numerous and mostly innocent, and are not stored. A
+row holds all crashes of one content known to its writer, and the last write wins.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 from mountstand.telemetry.decisions import DecisionLog
 
 SUSPECTS_TABLE = "crash_suspects"
-"""The table; its rows are keyed by contents in hexadecimal digits."""
+"""Name of the table. Row keys are content keys in hexadecimal."""
 
 ROWS_PER_WRITE = 20
-MOST_ROWS = 500
-"""Rows that the table holds at most, some 200 bytes each; one page of a read."""
+MAX_ROWS = 500
+"""Maximum number of rows, about 200 bytes each. They fit into one page of a read."""
 
-FIRST_RETRY_S = 0.25
-LONGEST_RETRY_S = 5.0
-"""Pause after a write that failed, doubled from the first to the longest: a store that is away for
-long is not asked often on behalf of what daemons tell each other anyway."""
+INITIAL_RETRY_DELAY_S = 0.25
+MAX_RETRY_DELAY_S = 5.0
+"""Delay before a failed write is retried. It doubles from the initial to the maximum, to limit the
+load on a store that is unavailable; daemons share suspects directly in the meantime."""
 
 
 class StoredSuspects:
-    """Writes the suspects of one daemon to the table, and takes what rows say.
+    """Writes the suspects of one daemon to the table, and merges rows read from it.
 
-    ``store_now_ms`` returns the store's clock and raises ``StoreError`` where it is not known;
-    ``on_news`` is called when rows said something new.
+    ``store_now_ms`` returns the time of the store's clock, and raises ``StoreError`` while it is
+    unknown. ``on_change`` is called after rows have added evidence.
     """
 
     def __init__(
@@ -49,54 +49,59 @@
         self._store = store
         self._store_now_ms = store_now_ms
         self._log = log
-        self._rows: set[int] = set()
-        self._unwritten: set[int] = set()
-        self._wanted = asyncio.Event()
-        self.on_news: Callable[[], None] = lambda: None
-
-    def want(self, content: int) -> None:
-        """Write what is known of a content, or remove its row if it is not suspected any more."""
-        new_row = self._suspects.is_strong(content) and len(self._rows) < MOST_ROWS
-        if new_row or content in self._rows:
-            self._unwritten.add(content)
-            self._wanted.set()
+        self._stored_contents: set[int] = set()
+        self._pending_writes: set[int] = set()
+        self._write_requested = asyncio.Event()
+        self.on_change: Callable[[], None] = lambda: None
+
+    def request_write(self, content: int) -> None:
+        """Schedule a write of a content's row, or its removal if the content is cleared or expired.
+
+        Does nothing for weak suspects without a row, or if the table has no room for a new row.
+        """
+        new_row = self._suspects.is_strong(content) and len(self._stored_contents) < MAX_ROWS
+        if new_row or content in self._stored_contents:
+            self._pending_writes.add(content)
+            self._write_requested.set()
 
     def apply(self, change: TableChange) -> None:
-        """Take changed rows, or with a complete change all that there are."""
+        """Merge changed rows; a complete change replaces the set of known rows."""
         if change.complete:
-            self._rows.clear()
+            self._stored_contents.clear()
         now_s = asyncio.get_running_loop().time()
-        news = False
+        changed = False
         for row in change.rows:
             try:
-                news = self._take(int(row.key.key, 16), row, now_s) or news
-            except (ValueError, KeyError, TypeError, AttributeError) as problem:
-                self._log.event("suspect_unreadable", key=row.key.key, cause=repr(problem))
-        if news:
-            self.on_news()
-
-    def forgotten_rows(self) -> list[int]:
-        """Return contents that have a row and are not known any more."""
-        return [content for content in self._rows if content not in self._suspects.by_content]
+                changed = self._merge_row(int(row.key.key, 16), row, now_s) or changed
+            except (ValueError, KeyError, TypeError, AttributeError) as error:
+                self._log.event("suspect_unreadable", key=row.key.key, cause=repr(error))
+        if changed:
+            self.on_change()
+
+    def contents_with_stale_row(self) -> list[int]:
+        """Return contents that have a row but are no longer suspected."""
+        return [
+            content for content in self._stored_contents if content not in self._suspects.by_content
+        ]
 
     async def run(self) -> None:
-        """Write what is wanted, until cancelled."""
-        pause_s = FIRST_RETRY_S
+        """Perform scheduled writes, until cancelled."""
+        delay_s = INITIAL_RETRY_DELAY_S
         while True:
-            await self._wanted.wait()
-            contents = sorted(self._unwritten)[:ROWS_PER_WRITE]
+            await self._write_requested.wait()
+            contents = sorted(self._pending_writes)[:ROWS_PER_WRITE]
             if not contents:
-                self._wanted.clear()
+                self._write_requested.clear()
                 continue
             try:
                 await self._write(contents)
-            except StoreError as problem:
-                cause = type(problem).__name__
-                self._log.event("suspects_delayed", cause=cause, contents=len(self._unwritten))
-                await asyncio.sleep(pause_s)
-                pause_s = min(LONGEST_RETRY_S, 2 * pause_s)
+            except StoreError as error:
+                cause = type(error).__name__
+                self._log.event("suspects_delayed", cause=cause, contents=len(self._pending_writes))
+                await asyncio.sleep(delay_s)
+                delay_s = min(MAX_RETRY_DELAY_S, 2 * delay_s)
                 continue
-            pause_s = FIRST_RETRY_S
+            delay_s = INITIAL_RETRY_DELAY_S
 
     async def _write(self, contents: list[int]) -> None:
         transaction = Transaction()
@@ -107,35 +112,35 @@
             if suspect is None or not suspect.crash_by_worker:
                 transaction.removals.append(_key(content))
                 continue
-            ends = {
+            crashes = {
                 str(worker): [
-                    now_ms - round((now_s - end.at_s) * 1000),
-                    round(end.ran_s * 1000),
+                    now_ms - round((now_s - crash.at_s) * 1000),
+                    round(crash.run_duration_s * 1000),
                 ]
-                for worker, end in suspect.crash_by_worker.items()
+                for worker, crash in suspect.crash_by_worker.items()
             }
-            transaction.puts.append((_key(content), orjson.dumps({"ends": ends})))
-        self._unwritten.difference_update(contents)
+            transaction.puts.append((_key(content), orjson.dumps({"ends": crashes})))
+        self._pending_writes.difference_update(contents)
         try:
             await self._store.commit(transaction)
         except StoreError:
-            self._unwritten.update(contents)
+            self._pending_writes.update(contents)
             raise
 
-    def _take(self, content: int, row: StoredRow, now_s: float) -> bool:
+    def _merge_row(self, content: int, row: StoredRow, now_s: float) -> bool:
         if row.value is None:
-            self._rows.discard(content)
+            self._stored_contents.discard(content)
             return False
-        self._rows.add(content)
-        ends = orjson.loads(row.value)["ends"]
+        self._stored_contents.add(content)
+        crashes = orjson.loads(row.value)["ends"]
         crash_by_worker = {
-            int(worker): WorkerCrash(now_s - self._age_s(at_ms), ran_ms / 1000)
-            for worker, (at_ms, ran_ms) in ends.items()
+            int(worker): WorkerCrash(now_s - self._age_s(at_ms), run_duration_ms / 1000)
+            for worker, (at_ms, run_duration_ms) in crashes.items()
         }
         return self._suspects.merge(content, crash_by_worker, NEVER_S)
 
     def _age_s(self, at_ms: int) -> float:
-        """Return how long ago something was; while the store's clock is not known, no time ago."""
+        """Return the age of a stored time, 0 while the store's clock is unknown."""
         try:
             return max(0.0, (self._store_now_ms() - at_ms) / 1000)
         except StoreError:
--- a/mountstand/quarantine/suspect.py
+++ b/mountstand/quarantine/suspect.py
@@ -1,7 +1,9 @@
-"""One content under which workers ended, as the statements of all daemons merge into it.
+"""Evidence that one request content crashes workers, merged from the reports of all daemons.
 
-Sets of ends only grow, an end keeps its earliest time, service and trials their latest. Times are
-seconds on the clock of the daemon that holds the state.
+The result of a merge doesn't depend on the order of reports, up to ``CLOCK_TOLERANCE_S``. Crashes
+are united, except for those refuted by a later success and those beyond ``MAX_CRASHES_KEPT``. A
+crash keeps its earliest reported time, the last success its latest, and the trials their highest
+count. Times are seconds on the local clock of the daemon that holds the state.
 """
 
 from __future__ import annotations
@@ -10,71 +12,77 @@
 from dataclasses import dataclass, field
 
 CRASHES_TO_BLOCK = 3
-"""Ends of workers under one content that are no chance any more. With a tenth of all runs beside a
-crash, which is what a content that comes twice a second does to nine workers, one run in a thousand
-is beside three in a row."""
-
-TRIAL_AFTER_S = 2.0
-"""Time from the third end to the trial. Within it the ends of all that ran at the same time are
-known everywhere: a check takes 0.75 s at most, word of it some milliseconds, and its repetitions a
-second. Callers and items of the contents that were merely there wait so long."""
-
-TRIAL_FACTOR = 4.0
-"""Growth of that time with each trial, so that one whose end is not seen, such as of a worker
-behind a broken link, costs a worker after 2, 8, 32 seconds and so on, up to ``INITIAL_BLOCK_S``."""
+"""Worker crashes after which a content is blocked. An innocent content is unlikely to be running
+during three crashes: if one run in ten overlaps a crash, as with a crashing request that arrives
+twice a second at nine workers, three runs in a row all overlap one once in a thousand times."""
+
+TRIAL_DELAY_S = 2.0
+"""Time from the last crash to the first trial of a content whose crashes have no clear cause. By
+then every daemon knows which contents ran on the crashed workers: a crash check takes up to 0.75 s
+and the last retransmission of a report follows after 1 s. Callers of innocent contents wait this
+long too."""
+
+TRIAL_BACKOFF_FACTOR = 4.0
+"""Factor by which the delay grows with each trial, up to ``INITIAL_BLOCK_S``. The backoff limits
+how many workers are lost if crashes caused by trials go undetected, such as behind a broken link.
+"""
 
-TRIAL_SPREAD_S = 0.3
-"""Daemons begin to try a content at different moments within this time, so that the first has told
-the others when they are due."""
+TRIAL_JITTER_S = 0.3
+"""Range over which daemons spread the start of a trial, so that the first one can announce its
+trial before the others become eligible."""
 
 TRIAL_RETRY_AFTER_S = 0.5
-"""When the caller of a content may come back that found no worker for its trial: what runs at those
-that are kept for other suspects ends meanwhile, or its own."""
+"""Retry delay suggested to the caller of a content that found no worker available for its trial. By
+then, runs on the workers reserved for other suspects, or the content's own trial, have ended."""
 
-STRONG_ENDS = 2
-"""Ends that make a strong suspect. One means little: an ordinary crash brings one to as many
-contents as the worker had slots, and nearly all of them are never heard of again."""
+STRONG_SUSPECT_CRASHES = 2
+"""Worker crashes that make a content a strong suspect. A single crash is weak evidence: every
+content that was running on the worker gets one."""
 
-MOST_AT_ONCE = 2
-"""Ends that count of those under runs that overlap. Two, since copies of a bad request that come at
-the same moment do end workers together, and the next run then decides."""
+MAX_COUNTED_PER_OVERLAP_GROUP = 2
+"""Crashes counted in each group of overlapping runs, since crashes close together may share a cause
+such as a power failure. Two are counted because copies of a crashing request that arrive together
+do crash several workers; the next run is then decisive."""
 
-MOST_ENDS = 8
-"""Ends that are kept of one content. More change neither whether it is blocked nor for how long."""
+MAX_CRASHES_KEPT = 8
+"""Crashes kept per content. Further ones change neither whether it is blocked nor for how long."""
 
-EVIDENCE_S = 600.0
-"""How long an end counts. Callers that send a request again do so within seconds to minutes."""
+SUSPECT_RETENTION_S = 600.0
+"""How long a suspect is kept after its last crash or success, not counting the time it is blocked.
+Longer than callers take to retry, which is seconds to minutes."""
 
 INITIAL_BLOCK_S = 600.0
-"""A block after three ends; each further end doubles it, up to five hours with ``MOST_ENDS``. What
-is blocked is tried again after that, since workers may have been mended meanwhile."""
+"""Block duration after ``CRASHES_TO_BLOCK`` crashes. Each further crash doubles it, up to about
+five hours at ``MAX_CRASHES_KEPT``. The content may run again afterwards, since the workers may have
+been fixed."""
 
-CLOCK_SLACK_S = 1.0
-"""Uncertainty of times that other daemons tell: theirs are ages, which grow on the way."""
+CLOCK_TOLERANCE_S = 1.0
+"""Allowed error of times received from other daemons: they are sent as ages, so that network delay
+makes an event appear later than it was."""
 
 NEVER_S = float("-inf")
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerCrash:
-    """The end of a worker while it ran a content: when, and how long the run had lasted."""
+    """When a worker crashed while it ran a content, and how long the run had lasted by then."""
 
     at_s: float
-    ran_s: float = 0.0
+    run_duration_s: float = 0.0
 
     @property
-    def began_s(self) -> float:
-        """When the run began that the end broke."""
-        return self.at_s - self.ran_s
+    def started_at_s(self) -> float:
+        """Start time of the run that the crash interrupted."""
+        return self.at_s - self.run_duration_s
 
 
-EndByWorker = Mapping[int, WorkerCrash]
-"""Ends of workers by the workers' keys."""
+CrashByWorker = Mapping[int, WorkerCrash]
+"""Crashes by worker key. A restarted worker has a new key, so each key has at most one crash."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Trials:
-    """How often a content that was held back was tried, and when last."""
+    """How many trials a content has had, and when the last one started."""
 
     count: int = 0
     last_at_s: float = NEVER_S
@@ -85,7 +93,7 @@
 
 @dataclass(slots=True)
 class Suspect:
-    """What is known of one content: ends of workers by the workers' keys, service, and trials."""
+    """Evidence about one content: crashes by worker key, its last success, and its trials."""
 
     crash_by_worker: dict[int, WorkerCrash] = field(default_factory=dict)
     served_at_s: float = NEVER_S
@@ -93,75 +101,91 @@
 
     @property
     def is_strong(self) -> bool:
-        """Whether so many workers ended under it that it is hardly chance."""
-        return len(self.crash_by_worker) >= STRONG_ENDS
+        """Whether at least ``STRONG_SUSPECT_CRASHES`` workers crashed while running the content."""
+        return len(self.crash_by_worker) >= STRONG_SUSPECT_CRASHES
 
     @property
-    def last_end_s(self) -> float:
-        """When a worker last ended under it."""
-        return max((end.at_s for end in self.crash_by_worker.values()), default=NEVER_S)
+    def last_crash_s(self) -> float:
+        """Time of the latest crash, ``NEVER_S`` if there is none."""
+        return max((crash.at_s for crash in self.crash_by_worker.values()), default=NEVER_S)
 
-    def is_cause(self, suspects_by_end: Mapping[int, int]) -> bool:
-        """Return whether its ends tell a cause, given how many strong suspects were at each.
+    def is_confirmed_cause(self, suspects_by_worker: Mapping[int, int]) -> bool:
+        """Return whether the crashes show that the content is a cause.
 
-        They do if it was alone at all of them, or at one since it was tried.
+        ``suspects_by_worker`` is the number of strong suspects that were running at each crash, by
+        worker key. The content is confirmed if it was the only one at all of its crashes, or at one
+        since its last trial started.
         """
-        own = [end for key, end in self.crash_by_worker.items() if suspects_by_end[key] == 1]
-        if len(own) == len(self.crash_by_worker):
+        sole = [
+            crash for key, crash in self.crash_by_worker.items() if suspects_by_worker[key] == 1
+        ]
+        if len(sole) == len(self.crash_by_worker):
             return True
-        return self.trials.count > 0 and any(end.at_s >= self.trials.last_at_s for end in own)
+        return self.trials.count > 0 and any(crash.at_s >= self.trials.last_at_s for crash in sole)
 
     @property
     def trial_at_s(self) -> float:
-        """When it may be tried, held back for the time from its last end or trial on."""
-        held_s = min(INITIAL_BLOCK_S, TRIAL_AFTER_S * TRIAL_FACTOR**self.trials.count)
-        return max(self.last_end_s, self.trials.last_at_s) + held_s
+        """Earliest time of the next trial, counted from the last crash or trial."""
+        delay_s = min(INITIAL_BLOCK_S, TRIAL_DELAY_S * TRIAL_BACKOFF_FACTOR**self.trials.count)
+        return max(self.last_crash_s, self.trials.last_at_s) + delay_s
 
     def merge(
-        self, crash_by_worker: EndByWorker, served_at_s: float, trials: Trials = NO_TRIALS
+        self, crash_by_worker: CrashByWorker, served_at_s: float, trials: Trials = NO_TRIALS
     ) -> bool:
-        """Merge a statement; returns whether it said anything new."""
+        """Merge evidence into this suspect.
+
+        Returns whether crashes were added or removed, or the last success or the number of trials
+        changed. Corrected times of known crashes and trials don't count.
+        """
         before = (set(self.crash_by_worker), self.served_at_s, self.trials.count)
-        if served_at_s > self.served_at_s + CLOCK_SLACK_S:
+        if served_at_s > self.served_at_s + CLOCK_TOLERANCE_S:
             self.served_at_s = served_at_s
-        for worker, end in crash_by_worker.items():
-            known = self.crash_by_worker.get(worker, end)
-            self.crash_by_worker[worker] = min(end, known, key=_end_time)
+        for worker, crash in crash_by_worker.items():
+            known = self.crash_by_worker.get(worker, crash)
+            self.crash_by_worker[worker] = min(crash, known, key=_crash_time)
         self.trials = max(self.trials, trials)
         self._drop_refuted()
-        while len(self.crash_by_worker) > MOST_ENDS:
+        while len(self.crash_by_worker) > MAX_CRASHES_KEPT:
             oldest = min(self.crash_by_worker, key=lambda key: self.crash_by_worker[key].at_s)
             del self.crash_by_worker[oldest]
         return (set(self.crash_by_worker), self.served_at_s, self.trials.count) != before
 
     def _drop_refuted(self) -> None:
-        """Drop ends and trials before the last service: what was served caused no end."""
-        refuted_s = self.served_at_s + CLOCK_SLACK_S
+        """Drop crashes and trials up to ``CLOCK_TOLERANCE_S`` after the last success.
+
+        The content was served, so it did not cause them.
+        """
+        refuted_until_s = self.served_at_s + CLOCK_TOLERANCE_S
         self.crash_by_worker = {
-            worker: end for worker, end in self.crash_by_worker.items() if end.at_s > refuted_s
+            worker: crash
+            for worker, crash in self.crash_by_worker.items()
+            if crash.at_s > refuted_until_s
         }
-        if self.trials.last_at_s <= refuted_s:
+        if self.trials.last_at_s <= refuted_until_s:
             self.trials = NO_TRIALS
 
 
-def block_s(ends: int) -> float:
-    """Return how long a content is blocked after so many unexplained ends."""
-    return INITIAL_BLOCK_S * 2.0 ** (min(ends, MOST_ENDS) - CRASHES_TO_BLOCK)
+def block_duration_s(crash_count: int) -> float:
+    """Return how long a content is blocked after ``crash_count`` crashes attributed to it."""
+    return INITIAL_BLOCK_S * 2.0 ** (min(crash_count, MAX_CRASHES_KEPT) - CRASHES_TO_BLOCK)
+
 
+def count_crashes(crashes: Iterable[WorkerCrash]) -> int:
+    """Count crashes, at most ``MAX_COUNTED_PER_OVERLAP_GROUP`` per group of overlapping runs.
 
-def counted_ends(ends: Iterable[WorkerCrash]) -> int:
-    """Return for how many ends some count, given which of their runs overlapped."""
+    A group consists of the runs that started before the first crash of the group.
+    """
     counted = 0
     overlapping = 0
-    first_end_s = NEVER_S
-    for end in sorted(ends, key=_end_time):
-        if end.began_s >= first_end_s:
-            first_end_s = end.at_s
+    first_crash_s = NEVER_S
+    for crash in sorted(crashes, key=_crash_time):
+        if crash.started_at_s >= first_crash_s:
+            first_crash_s = crash.at_s
             overlapping = 0
         overlapping += 1
-        counted += overlapping <= MOST_AT_ONCE
+        counted += overlapping <= MAX_COUNTED_PER_OVERLAP_GROUP
     return counted
 
 
-def _end_time(end: WorkerCrash) -> float:
-    return end.at_s
+def _crash_time(crash: WorkerCrash) -> float:
+    return crash.at_s
--- a/mountstand/quarantine/threads.py
+++ b/mountstand/quarantine/threads.py
@@ -1,8 +1,7 @@
-"""Holds back requests that crash workers: the part of one daemon of the own interface.
+"""Quarantines requests that crash workers; for the threads of :mod:`mountstand.daemon`.
 
-The same suspects as :mod:`mountstand.quarantine.service`, driven from threads. Machines of the
-platform's list keep their id when their worker starts again, so an end is named by the machine and
-the moment.
+The threaded counterpart of :mod:`mountstand.quarantine.service`. Each machine runs one worker, and
+keeps its id when the worker restarts, so a crash is identified by the machine and the time.
 """
 
 from __future__ import annotations
@@ -29,7 +28,7 @@
     SuspectObserver,
     SuspectSharing,
 )
-from mountstand.quarantine.suspect import NEVER_S, EndByWorker, WorkerCrash
+from mountstand.quarantine.suspect import NEVER_S, CrashByWorker, WorkerCrash
 from mountstand.quarantine.suspects import CrashSuspects
 from mountstand.store.ports import Machine, Put, TablePort, Transaction
 from mountstand.telemetry.logs import log_state_change
@@ -38,22 +37,27 @@
 logger = logging.getLogger(__name__)
 
 TICK_S = 0.25
-CHECK_THREADS = 2
-CHECKS = 2
-CHECK_PAUSE_S = 0.1
-"""A worker that refuses connections this often, with the pause between, has ended."""
+"""Interval of :meth:`SuspectSharing.tick`."""
 
-SAME_END_S = 2.0
-"""Ends of one machine within this time are one: a worker needs longer to start again."""
+CRASH_CHECK_THREADS = 2
+CRASH_CHECKS = 2
+CRASH_CHECK_INTERVAL_S = 0.1
+"""A worker counts as crashed if this many checks in a row, at this interval, find that its machine
+refuses connections."""
+
+CRASH_DEDUP_WINDOW_S = 2.0
+"""Length of the time windows that identify crashes: crashes of one machine in the same window count
+once. A worker takes longer than this to restart."""
 
 STORE_INTERVAL_S = 1.0
 KEY_PREFIX = "quarantine/"
+"""Prefix of the row keys in the table, followed by the content key in hexadecimal."""
 
-HasEnded = Callable[[Machine], bool]
+CrashCheck = Callable[[Machine], bool]
 
 
 class MembershipReportLink(ReportLink):
-    """Sends reports in the datagrams of failure detection; all daemons serve callers."""
+    """Sends reports in datagrams of the membership protocol. All daemons serve callers."""
 
     __slots__ = ("_membership",)
 
@@ -61,16 +65,16 @@
         self._membership = membership
 
     def running(self) -> Collection[str]:
-        """Return the other daemons that are believed to run."""
+        """Return the names of the other daemons that are believed to be up."""
         live = {member.member_id for member in self._membership.live_members()}
         return live - {self._membership.self_id}
 
     def serving(self) -> Collection[str]:
-        """Return the same."""
+        """Return all running daemons."""
         return self.running()
 
     def send(self, message: QuarantineMessage, receivers: Collection[str]) -> None:
-        """Send a message to daemons."""
+        """Send a message to those receivers that are members."""
         for member_id in receivers:
             member = self._membership.member(member_id)
             if member is not None:
@@ -78,88 +82,107 @@
 
 
 class TableSuspects:
-    """Suspects in the table, by content; times are seconds since the epoch."""
+    """Reads and writes suspects in the table. Times are seconds since the epoch."""
 
     def __init__(self, table: TablePort) -> None:
         self._table = table
 
-    def read(self) -> dict[int, EndByWorker]:
-        """Return ends of workers by content. Raises ``StoreUnavailable``."""
-        ends_by_content: dict[int, EndByWorker] = {}
+    def read(self) -> dict[int, CrashByWorker]:
+        """Return crashes by worker key for each content, skipping unreadable rows.
+
+        Raises ``StoreUnavailable``.
+        """
+        crashes_by_content: dict[int, CrashByWorker] = {}
         for row in self._table.read(prefixes=(KEY_PREFIX,)).rows:
             try:
                 content = int(row.key.removeprefix(KEY_PREFIX), 16)
-                ends_by_content[content] = {
-                    int(worker): WorkerCrash(float(at_s), float(ran_s))
-                    for worker, (at_s, ran_s) in row.value["ends"].items()
+                crashes_by_content[content] = {
+                    int(worker): WorkerCrash(float(at_s), float(run_duration_s))
+                    for worker, (at_s, run_duration_s) in row.value["ends"].items()
                 }
-            except (ValueError, KeyError, TypeError, AttributeError) as problem:
-                logger.warning("unreadable row", extra={"key": row.key, "cause": repr(problem)})
-        return ends_by_content
+            except (ValueError, KeyError, TypeError, AttributeError) as error:
+                logger.warning(
+                    "skipping unreadable quarantine row",
+                    extra={"key": row.key, "cause": repr(error)},
+                )
+        return crashes_by_content
+
+    def write(self, crashes_by_content: Mapping[int, CrashByWorker]) -> None:
+        """Write crashes, and delete the rows of contents without any.
 
-    def write(self, ends_by_content: Mapping[int, EndByWorker]) -> None:
-        """Write ends; a content without any loses its row. Raises ``StoreUnavailable``."""
+        Raises ``StoreUnavailable``.
+        """
         puts = []
         deletes = []
-        for content, crash_by_worker in ends_by_content.items():
+        for content, crash_by_worker in crashes_by_content.items():
             key = KEY_PREFIX + content_name(content)
             if not crash_by_worker:
                 deletes.append(key)
                 continue
-            ends = {str(worker): [end.at_s, end.ran_s] for worker, end in crash_by_worker.items()}
-            puts.append(Put(key=key, value={"ends": ends}))
+            crashes = {
+                str(worker): [crash.at_s, crash.run_duration_s]
+                for worker, crash in crash_by_worker.items()
+            }
+            puts.append(Put(key=key, value={"ends": crashes}))
         self._table.commit(Transaction(write_id=uuid.uuid4().hex, puts=puts, deletes=deletes))
 
 
 class ContentQuarantine(SuspectObserver):
-    """Decides which contents may be sent to workers; thread-safe."""
+    """Decides which contents may be sent to workers. Thread-safe.
+
+    The counterpart for the event loop is :class:`mountstand.quarantine.service.RequestQuarantine`.
+    ``daemon_name`` names this daemon. ``has_crashed`` performs one check of whether a machine
+    refuses connections, or accepts them in a forwarder without a worker behind it.
+    """
 
     def __init__(
         self,
-        own: str,
+        daemon_name: str,
         link: ReportLink,
         table: TableSuspects,
-        has_ended: HasEnded,
+        has_crashed: CrashCheck,
         metrics: DaemonMetrics,
         seed: int,
     ) -> None:
         self._lock = threading.RLock()
-        self._sharing = SuspectSharing(own, link, random.Random(seed))
+        self._sharing = SuspectSharing(daemon_name, link, random.Random(seed))
         self._sharing.observer = self
         self._separation = SuspectSeparation(self._sharing.suspects)
         self._table = table
-        self._has_crashed = has_ended
+        self._has_crashed = has_crashed
         self._metrics = metrics
         self._loaded = False
-        self._kept: set[int] = set()
-        self._to_store: set[int] = set()
-        self._checkers = ThreadPoolExecutor(CHECK_THREADS, thread_name_prefix="worker-end")
+        self._stored_contents: set[int] = set()
+        self._pending_writes: set[int] = set()
+        self._crash_check_pool = ThreadPoolExecutor(
+            CRASH_CHECK_THREADS, thread_name_prefix="worker-end"
+        )
         self._sent_at_s_by_machine: dict[str, dict[int, float]] = {}
         self._tasks = [
             PeriodicTask("quarantine", TICK_S, self._tick),
-            PeriodicTask("quarantine store", STORE_INTERVAL_S, self._use_table),
+            PeriodicTask("quarantine store", STORE_INTERVAL_S, self._sync_table),
         ]
 
     @property
     def suspects(self) -> CrashSuspects:
-        """What is known of contents that crash workers."""
+        """Contents suspected of crashing workers."""
         return self._sharing.suspects
 
     def start(self) -> None:
-        """Ask other daemons and the table what they know, and go on telling."""
+        """Query peers, and start the periodic tasks that exchange and store suspects."""
         with self._lock:
             self._sharing.query_peers()
         for task in self._tasks:
             task.start()
 
     def stop(self) -> None:
-        """Tell nothing more."""
+        """Stop the periodic tasks and cancel crash checks that have not started."""
         for task in self._tasks:
             task.stop()
-        self._checkers.shutdown(wait=False, cancel_futures=True)
+        self._crash_check_pool.shutdown(wait=False, cancel_futures=True)
 
     def check(self, content: int) -> None:
-        """Raise ``RequestQuarantined`` for a content that may not be sent to workers."""
+        """Raise ``RequestQuarantined`` if a content is blocked."""
         if not self.suspects:
             return
         with self._lock:
@@ -168,19 +191,22 @@
             raise self.quarantined_error(content, blocked_for_s)
 
     def quarantined_error(self, content: int, retry_after_s: float) -> RequestQuarantined:
-        """Count a content that is not sent to a worker; return the error that says so."""
+        """Count a rejected request, and return the error to raise for it."""
         self._metrics.requests_quarantined.inc()
         return RequestQuarantined(f"content {content_name(content)}", retry_after_s=retry_after_s)
 
     def requires_trial(self, content: int) -> bool:
-        """Return whether a content may run only where no other suspect does."""
+        """Return whether a content requires a trial, apart from other strong suspects."""
         if not self.suspects:
             return False
         with self._lock:
-            return self.suspects.is_on_trial(content)
+            return self.suspects.requires_trial(content)
 
     def note_broken(self, machine: Machine, content: int, sent_at_s: float) -> None:
-        """Note that an exchange broke at a worker after the request was sent."""
+        """Record that the connection to a worker broke after the request was sent.
+
+        A crash check of the machine runs in the background, unless one is already pending.
+        """
         if machine.leaving:
             return
         with self._lock:
@@ -189,29 +215,29 @@
                 sent.setdefault(content, sent_at_s)
                 return
             self._sent_at_s_by_machine[machine.machine_id] = {content: sent_at_s}
-        self._checkers.submit(self._check_machine, machine)
+        self._crash_check_pool.submit(self._check_machine, machine)
 
     @contextmanager
     def running(self, content: int, machine: Machine) -> Iterator[bool]:
-        """Keep other suspects away from a worker while a suspect runs there.
+        """Track the run of a strong suspect, so that this daemon sends no other one to the worker.
 
-        The value is whether the content may run there, beside what this daemon has there already.
-        The trial of one that was held back begins here, and holds it back everywhere else.
+        Yields whether the content may run: it is not blocked, and :meth:`SuspectSeparation.allows`
+        the worker. If it requires a trial, the trial starts here and blocks it on all daemons.
         """
         with self._lock:
             now_s = elapsed_s()
             allowed = self._separation.allows(content, machine.machine_id, now_s)
-            allowed = allowed and self._begin(content, machine, now_s)
-            entered = allowed and self._separation.enter(content, machine.machine_id)
+            allowed = allowed and self._begin_run(content, machine, now_s)
+            tracked = allowed and self._separation.track_run(content, machine.machine_id)
         try:
             yield allowed
         finally:
-            if entered:
+            if tracked:
                 with self._lock:
-                    self._separation.leave(content, machine.machine_id)
+                    self._separation.release_run(content, machine.machine_id)
 
     def note_served(self, content: int) -> None:
-        """Note that a worker answered a request whole."""
+        """Record that a worker answered a request completely, which clears its content."""
         if not self.suspects:
             return
         with self._lock:
@@ -220,96 +246,112 @@
             log_state_change(logger, "suspect cleared", content=content_name(content))
 
     def handle(self, sender: str, message: QuarantineMessage) -> None:
-        """Take what another daemon tells, or answer it."""
+        """Merge a report from another daemon, or answer its query."""
         with self._lock:
             self._sharing.handle(sender, message, elapsed_s())
 
     # SuspectObserver
 
-    def store(self, contents: Iterable[int]) -> None:
-        """Have contents written to the table, by its own task."""
+    def persist(self, contents: Iterable[int]) -> None:
+        """Schedule writes of strong or already stored contents, for the periodic table task."""
         for content in contents:
-            if self.suspects.is_strong(content) or content in self._kept:
-                self._to_store.add(content)
+            if self.suspects.is_strong(content) or content in self._stored_contents:
+                self._pending_writes.add(content)
 
-    def note_blocked(self, content: int, source: str) -> None:
-        """Tell of a content that is held back from now on."""
-        ends = len(self.suspects.by_content[content].crash_by_worker)
+    def on_content_blocked(self, content: int, source: str) -> None:
+        """Log a newly blocked content."""
+        crashes = len(self.suspects.by_content[content].crash_by_worker)
         log_state_change(
-            logger, "request quarantined", content=content_name(content), ends=ends, source=source
+            logger,
+            "request quarantined",
+            content=content_name(content),
+            ends=crashes,
+            source=source,
         )
 
     # Internals
 
-    def _begin(self, content: int, machine: Machine, now_s: float) -> bool:
-        """Return whether a content may be sent; note its trial if this is one."""
-        on_trial = self.suspects.is_on_trial(content)
-        if not self._sharing.begin(content, now_s):
+    def _begin_run(self, content: int, machine: Machine, now_s: float) -> bool:
+        """Return whether a content may be sent; start its trial if it requires one."""
+        is_trial = self.suspects.requires_trial(content)
+        if not self._sharing.begin_run(content, now_s):
             return False
-        if on_trial:
+        if is_trial:
             name = content_name(content)
             log_state_change(logger, "suspect tried", content=name, worker=machine.machine_id)
         return True
 
     def _check_machine(self, machine: Machine) -> None:
         broke_at_s = elapsed_s()
-        ended = True
-        for number in range(CHECKS):
-            if number:
-                time.sleep(CHECK_PAUSE_S)
-            ended = ended and self._has_crashed(machine)
+        crashed = True
+        for attempt in range(CRASH_CHECKS):
+            if attempt:
+                time.sleep(CRASH_CHECK_INTERVAL_S)
+            crashed = crashed and self._has_crashed(machine)
         with self._lock:
             sent_at_s = self._sent_at_s_by_machine.pop(machine.machine_id)
-            if ended:
+            if crashed:
                 self._sharing.note_worker_crash(
-                    end_key(machine), broke_at_s, sent_at_s, elapsed_s()
+                    crash_key(machine), broke_at_s, sent_at_s, elapsed_s()
                 )
-        if ended:
+        if crashed:
             broken = len(sent_at_s)
             log_state_change(logger, "worker ended", worker=machine.machine_id, broken=broken)
 
     def _tick(self) -> None:
         with self._lock:
             self._sharing.tick(elapsed_s())
-            forgotten = self._kept - self.suspects.by_content.keys()
-            self._to_store |= {c for c in forgotten if self._sharing.is_keeper(content_name(c))}
+            no_longer_suspected = self._stored_contents - self.suspects.by_content.keys()
+            self._pending_writes |= {
+                c for c in no_longer_suspected if self._sharing.owns_cleanup(content_name(c))
+            }
 
-    def _use_table(self) -> None:
-        """Read the table once, then write what is wanted. Raises ``StoreUnavailable``."""
+    def _sync_table(self) -> None:
+        """Load the table on first use, then perform pending writes. Raises ``StoreUnavailable``."""
         if not self._loaded:
-            self._take_stored(self._table.read())
+            self._merge_stored(self._table.read())
             self._loaded = True
         with self._lock:
-            contents = set(self._to_store)
-            ended = {content: self._ends_by_wall_clock(content) for content in contents}
-        if not ended:
+            contents = set(self._pending_writes)
+            crashes_by_content = {
+                content: self._crashes_by_wall_clock(content) for content in contents
+            }
+        if not crashes_by_content:
             return
-        self._table.write(ended)
+        self._table.write(crashes_by_content)
         with self._lock:
-            self._to_store -= contents
-            self._kept = (self._kept | contents) - {c for c, ends in ended.items() if not ends}
+            self._pending_writes -= contents
+            self._stored_contents = (self._stored_contents | contents) - {
+                c for c, crashes in crashes_by_content.items() if not crashes
+            }
 
-    def _take_stored(self, ends_by_content: Mapping[int, EndByWorker]) -> None:
+    def _merge_stored(self, crashes_by_content: Mapping[int, CrashByWorker]) -> None:
         with self._lock:
             offset_s = elapsed_s() - time.time()
-            for content, ends in ends_by_content.items():
-                self._kept.add(content)
-                self.suspects.merge(content, moved(ends, offset_s), NEVER_S)
+            for content, crashes in crashes_by_content.items():
+                self._stored_contents.add(content)
+                self.suspects.merge(content, shift_clock(crashes, offset_s), NEVER_S)
             self._sharing.note_stored(elapsed_s())
 
-    def _ends_by_wall_clock(self, content: int) -> EndByWorker:
+    def _crashes_by_wall_clock(self, content: int) -> CrashByWorker:
         suspect = self.suspects.by_content.get(content)
         if suspect is None:
             return {}
-        return moved(suspect.crash_by_worker, time.time() - elapsed_s())
+        return shift_clock(suspect.crash_by_worker, time.time() - elapsed_s())
+
 
+def shift_clock(crash_by_worker: CrashByWorker, offset_s: float) -> CrashByWorker:
+    """Convert crash times to a clock that is ``offset_s`` ahead."""
+    return {
+        worker: WorkerCrash(crash.at_s + offset_s, crash.run_duration_s)
+        for worker, crash in crash_by_worker.items()
+    }
 
-def moved(crash_by_worker: EndByWorker, by_s: float) -> EndByWorker:
-    """Return ends on a clock that shows ``by_s`` seconds more."""
-    return {w: WorkerCrash(end.at_s + by_s, end.ran_s) for w, end in crash_by_worker.items()}
 
+def crash_key(machine: Machine) -> int:
+    """Return the worker key under which a crash of a machine's worker is recorded now.
 
-def end_key(machine: Machine) -> int:
-    """Return the number that stands for the end of a machine's worker at this moment."""
-    moment = int(time.time() / SAME_END_S)
-    return zlib.crc32(f"{machine.machine_id}@{moment}".encode())
+    It is a hash of the machine and the current time window.
+    """
+    window = int(time.time() / CRASH_DEDUP_WINDOW_S)
+    return zlib.crc32(f"{machine.machine_id}@{window}".encode())
--- a/mountstand/quarantine/verdicts.py
+++ b/mountstand/quarantine/verdicts.py
@@ -1,6 +1,6 @@
-"""Which suspected contents are blocked, and which are tried: a pure function of their ends.
+"""Decides which suspects are blocked or require a trial: a pure function of the evidence.
 
-Daemons that have heard the same, in whatever order, judge alike.
+Daemons with the same evidence reach the same verdicts, except for the jitter of trials.
 """
 
 from __future__ import annotations
@@ -11,115 +11,130 @@
 from mountstand.hashing import content_name, rendezvous_share
 from mountstand.quarantine.suspect import (
     CRASHES_TO_BLOCK,
-    TRIAL_SPREAD_S,
+    TRIAL_JITTER_S,
     Suspect,
-    block_s,
-    counted_ends,
+    block_duration_s,
+    count_crashes,
 )
 
 
 class Verdicts:
-    """What follows from the ends of all suspected contents, for the daemon ``own``."""
+    """Verdicts on all suspected contents, as seen by the daemon named ``daemon_name``."""
 
-    __slots__ = ("_by_content", "_own", "blocked_until_s", "on_trial")
+    __slots__ = ("_by_content", "_daemon_name", "blocked_until_s", "trial_required")
 
-    def __init__(self, by_content: Mapping[int, Suspect], own: str) -> None:
+    def __init__(self, by_content: Mapping[int, Suspect], daemon_name: str) -> None:
         self._by_content = by_content
-        self._own = own
+        self._daemon_name = daemon_name
         self.blocked_until_s: dict[int, float] = {}
-        """Until when contents may not be sent to workers."""
+        """End of the block, by content. May lie in the past."""
 
-        self.on_trial: set[int] = set()
-        """Contents that run once at a time, most of them after they were held back a moment."""
+        self.trial_required: set[int] = set()
+        """Contents that require a trial: at most one run at a time across all daemons, most of them
+        after a short block."""
 
-        self._judge()
+        self._evaluate()
 
-    def _judge(self) -> None:
-        """Decide anew what is blocked; those with the most ends are judged first."""
-        contents_by_ends: dict[int, list[int]] = {}
+    def _evaluate(self) -> None:
+        """Evaluate all suspects, those with the most crashes first."""
+        contents_by_crash_count: dict[int, list[int]] = {}
         for content, suspect in self._by_content.items():
-            ends = len(suspect.crash_by_worker)
-            if ends >= CRASHES_TO_BLOCK:
-                contents_by_ends.setdefault(ends, []).append(content)
-        explained: set[int] = set()
-        for ends in sorted(contents_by_ends, reverse=True):
-            explained |= self._judge_equals(contents_by_ends[ends], explained)
-        self._hold_for_trial()
-        for contents in contents_by_ends.values():
-            self._try_explained(contents)
-
-    def _hold_for_trial(self) -> None:
-        """Hold blocked contents whose ends don't tell a cause until their trial only."""
+            crash_count = len(suspect.crash_by_worker)
+            if crash_count >= CRASHES_TO_BLOCK:
+                contents_by_crash_count.setdefault(crash_count, []).append(content)
+        attributed: set[int] = set()
+        for crash_count in sorted(contents_by_crash_count, reverse=True):
+            attributed |= self._evaluate_with_same_crash_count(
+                contents_by_crash_count[crash_count], attributed
+            )
+        self._replace_unconfirmed_blocks()
+        for contents in contents_by_crash_count.values():
+            self._require_trial_unless_blocked(contents)
+
+    def _replace_unconfirmed_blocks(self) -> None:
+        """Let the block of contents that are not a confirmed cause end at their next trial."""
         if not self.blocked_until_s:
             return
         strong = (each for each in self._by_content.values() if each.is_strong)
-        suspects_by_end = Counter(end for each in strong for end in each.crash_by_worker)
+        suspects_by_worker = Counter(worker for each in strong for worker in each.crash_by_worker)
         for content in self.blocked_until_s:
-            if not self._by_content[content].is_cause(suspects_by_end):
-                self._hold(content)
-                self.on_trial.add(content)
+            if not self._by_content[content].is_confirmed_cause(suspects_by_worker):
+                self._block_until_trial(content)
+                self.trial_required.add(content)
 
-    def _try_explained(self, contents: list[int]) -> None:
-        """Let those that are not blocked, since others explain their ends, run once at a time.
+    def _require_trial_unless_blocked(self, contents: list[int]) -> None:
+        """Require a trial of contents that have enough crashes but are not blocked.
 
-        One of them may be a cause as well, and would end a worker with each copy that is asked for
-        until its next end is known.
+        Their crashes are attributed to other contents or come from overlapping runs. One of them
+        may be a cause too, and would crash a worker with each concurrent copy until the next crash
+        is known.
         """
         for content in contents:
             if content in self.blocked_until_s:
                 continue
-            self.on_trial.add(content)
+            self.trial_required.add(content)
             if self._by_content[content].trials.count:
-                self._hold(content)
+                self._block_until_trial(content)
 
-    def _hold(self, content: int) -> None:
-        """Hold a content back until its trial, at each daemon for a little longer or shorter."""
-        spread_s = TRIAL_SPREAD_S * rendezvous_share(content_name(content), self._own)
-        self.blocked_until_s[content] = self._by_content[content].trial_at_s + spread_s
+    def _block_until_trial(self, content: int) -> None:
+        """Block a content until its next trial, plus a jitter derived from content and daemon."""
+        jitter_s = TRIAL_JITTER_S * rendezvous_share(content_name(content), self._daemon_name)
+        self.blocked_until_s[content] = self._by_content[content].trial_at_s + jitter_s
 
-    def _judge_equals(self, contents: list[int], explained: set[int]) -> set[int]:
-        """Judge contents with equally many ends; returns the ends that the blocked ones explain."""
+    def _evaluate_with_same_crash_count(
+        self, contents: list[int], attributed: set[int]
+    ) -> set[int]:
+        """Block those of ``contents``, all with the same number of crashes, for which enough count.
+
+        ``attributed`` holds the keys of workers whose crashes don't count, since they are
+        attributed to contents with more crashes. Returns the keys of workers whose crashes are
+        attributed to the newly blocked contents.
+        """
         blocked: dict[int, int] = {}
         for content in contents:
             crash_by_worker = self._by_content[content].crash_by_worker
-            ends = counted_ends(crash_by_worker[w] for w in crash_by_worker.keys() - explained)
-            if ends >= CRASHES_TO_BLOCK:
-                blocked[content] = ends
-        for content in self._explained_together(blocked):
+            crash_count = count_crashes(
+                crash_by_worker[worker] for worker in crash_by_worker.keys() - attributed
+            )
+            if crash_count >= CRASHES_TO_BLOCK:
+                blocked[content] = crash_count
+        for content in self._attributable_to_others(blocked):
             del blocked[content]
-        newly: set[int] = set()
-        for content, ends in blocked.items():
+        newly_attributed: set[int] = set()
+        for content, crash_count in blocked.items():
             suspect = self._by_content[content]
-            self.blocked_until_s[content] = suspect.last_end_s + block_s(ends)
-            newly |= suspect.crash_by_worker.keys()
-        return newly
+            self.blocked_until_s[content] = suspect.last_crash_s + block_duration_s(crash_count)
+            newly_attributed |= suspect.crash_by_worker.keys()
+        return newly_attributed
 
-    def _explained_together(self, contents: Iterable[int]) -> set[int]:
-        """Return contents whose ends are all explained by several others, which have more besides.
+    def _attributable_to_others(self, contents: Iterable[int]) -> set[int]:
+        """Return contents each of whose crashes also involves another of ``contents``.
 
-        One that was beside two crashing requests, at two ends and at one, has as many ends as
-        these, but each of them has an end of its own. If it is a cause all the same, its next end
-        tells: then it has more than they do.
+        All ``contents`` have the same number of crashes. An innocent content that ran next to two
+        crashing ones, at two crashes of the first and at one of the second, has as many crashes as
+        they have; but each of them also has a crash at which it was not present. If it is a cause
+        nevertheless, its next crash shows it, as it then has more crashes than they have.
 
-        All have equally many ends, so one with other ends has an end of its own.
+        Crashes are not attributed to contents with an identical set of crashes, as these can't be
+        told apart, nor to contents already found attributable.
         """
-        ends_by_content = {
+        workers_by_content = {
             key: frozenset(self._by_content[key].crash_by_worker) for key in contents
         }
-        counts_by_end: defaultdict[int, Counter[frozenset[int]]] = defaultdict(Counter)
-        for ends in ends_by_content.values():
-            for end in ends:
-                counts_by_end[end][ends] += 1
-        explained: set[int] = set()
-        for content, ends in sorted(ends_by_content.items()):
-            if all(len(counts_by_end[end]) > 1 for end in ends):
-                explained.add(content)
-                for end in ends:
-                    _take_one(counts_by_end[end], ends)
-        return explained
-
-
-def _take_one(counts: Counter[frozenset[int]], ends: frozenset[int]) -> None:
-    counts[ends] -= 1
-    if not counts[ends]:
-        del counts[ends]
+        counts_by_worker: defaultdict[int, Counter[frozenset[int]]] = defaultdict(Counter)
+        for workers in workers_by_content.values():
+            for worker in workers:
+                counts_by_worker[worker][workers] += 1
+        attributable: set[int] = set()
+        for content, workers in sorted(workers_by_content.items()):
+            if all(len(counts_by_worker[worker]) > 1 for worker in workers):
+                attributable.add(content)
+                for worker in workers:
+                    _decrement(counts_by_worker[worker], workers)
+        return attributable
+
+
+def _decrement(counts: Counter[frozenset[int]], workers: frozenset[int]) -> None:
+    counts[workers] -= 1
+    if not counts[workers]:
+        del counts[workers]
--- a/tests/model/test_crash_suspects.py
+++ b/tests/model/test_crash_suspects.py
@@ -1,10 +1,7 @@
-"""Items beside several crashing contents are done, and these reach few workers, in model time.
+"""Innocent items complete beside several crashing contents, and these crash few workers.
 
-An innocent item was held back for ten minutes as one that crashes workers, three times in soaks
-(seeds 6006, 3011 and 7036): it had been at three ends of workers, beside one crashing content at
-some and beside another at the others. Sets of ends alone can't tell such an item from a cause. In
-400 plays with four and six crashing contents, 25 items of 170,000 were lost so, in 21 plays; since
-contents whose ends others may have caused are held back for a moment and tried apart, none.
+Guards against blocking an innocent item that was present at three crashes of different culprits:
+sets of crashes alone can't tell it from a culprit, so it needs a trial.
 """
 
 from __future__ import annotations
@@ -14,67 +11,76 @@
 
 import pytest
 
-from tests.model.quarantine_fleet import ItemTask, QuarantineFleet, send_series
+from tests.model.quarantine_fleet import QuarantineFleet, SimulatedItem, send_repeatedly
 
-CONTACT_S = 3.0
-RETRIES_ALLOWED = 3
-"""A content may reach so many workers later than that after the third that it ended."""
+PROPAGATION_GRACE_S = 3.0
+MAX_LATE_RUNS = 3
+"""Runs of a crashing content allowed to start more than the grace period after its third run."""
 
 TRAFFIC_S = 20.0
-END_S = 60.0
-"""After the last job, all items are given this time and more."""
+SIMULATION_S = 60.0
+"""Simulated time in all, which leaves the last items about 40 s to complete."""
 
-PLAYS = 25
+SIMULATIONS = 25
 
 
-class Play:
-    """One play: jobs at any daemon, some with a crashing item, and series of crashing requests."""
+class Simulation:
+    """Jobs at random daemons, some with a crashing item, and repeated crashing requests."""
 
-    def __init__(self, seed: int, crashing: int, loss: float = 0.0) -> None:
-        self.fleet = QuarantineFleet(seed, daemons=4, workers=8, loss=loss)
+    def __init__(self, seed: int, crashing_count: int, loss_probability: float = 0.0) -> None:
+        self.fleet = QuarantineFleet(seed, daemons=4, workers=8, loss_probability=loss_probability)
         self._rng = random.Random(seed)
-        self._numbers = itertools.count(1000)
-        self.items: list[ItemTask] = []
-        for content in range(1, crashing + 1):
-            self._send_series(content)
-        self._crashing_items = [next(self._numbers) for _ in range(crashing)]
-        self.fleet.crashing.update(self._crashing_items)
+        self._next_content = itertools.count(1000)
+        self.items: list[SimulatedItem] = []
+        for content in range(1, crashing_count + 1):
+            self._schedule_crashing_requests(content)
+        self._crashing_items = [next(self._next_content) for _ in range(crashing_count)]
+        self.fleet.crashing_contents.update(self._crashing_items)
         at_s = 0.0
         while at_s < TRAFFIC_S:
             at_s += self._rng.uniform(0.2, 0.8)
-            self.fleet.clock.after(at_s, self._submit)
-        self.fleet.clock.run_until(self.fleet.clock.now_s + END_S)
+            self.fleet.clock.call_later(at_s, self._submit)
+        self.fleet.clock.run_until(self.fleet.clock.now_s + SIMULATION_S)
 
     @property
-    def lost(self) -> int:
-        """Innocent items that are not done."""
+    def incomplete_items(self) -> int:
+        """Number of innocent items that were not completed."""
         return sum(not item.done for item in self.items)
 
     @property
     def late_runs(self) -> int:
-        """The most runs of a content that came long after the third."""
-        crashed = self.fleet.crashed_at_s
-        return max((self.fleet.late_runs(content, CONTACT_S) for content in crashed), default=0)
-
-    def _send_series(self, content: int) -> None:
-        self.fleet.crashing.add(content)
-        tries = self._rng.randint(15, 45)
-        self.fleet.clock.after(
-            self._rng.uniform(0.5, 3.0), lambda: send_series(self.fleet, content, tries, 0.4)
+        """Maximum of :meth:`QuarantineFleet.late_runs` over the crashing contents."""
+        run_starts = self.fleet.crashing_run_starts_s
+        return max(
+            (self.fleet.late_runs(content, PROPAGATION_GRACE_S) for content in run_starts),
+            default=0,
+        )
+
+    def _schedule_crashing_requests(self, content: int) -> None:
+        self.fleet.crashing_contents.add(content)
+        attempts = self._rng.randint(15, 45)
+        self.fleet.clock.call_later(
+            self._rng.uniform(0.5, 3.0), lambda: send_repeatedly(self.fleet, content, attempts, 0.4)
         )
 
     def _submit(self) -> None:
-        daemon = self.fleet.any_daemon()
+        daemon = self.fleet.random_daemon()
         for _ in range(self._rng.randint(1, 20)):
-            self.items.append(ItemTask(self.fleet, daemon, next(self._numbers)))
+            self.items.append(SimulatedItem(self.fleet, daemon, next(self._next_content)))
         if self._crashing_items and self._rng.random() < 0.3:
-            ItemTask(self.fleet, daemon, self._crashing_items.pop())
-
-
-@pytest.mark.parametrize("crashing", [1, 2, 3])
-@pytest.mark.parametrize("loss", [0.0, 0.3])
-def test_no_item_is_lost_and_few_workers_are(crashing: int, loss: float) -> None:
-    plays = [Play(seed, crashing, loss) for seed in range(PLAYS)]
-    assert [seed for seed, play in enumerate(plays) if play.lost] == []
-    late = {seed: play.late_runs for seed, play in enumerate(plays)}
-    assert {seed: runs for seed, runs in late.items() if runs > RETRIES_ALLOWED} == {}
+            SimulatedItem(self.fleet, daemon, self._crashing_items.pop())
+
+
+@pytest.mark.parametrize("crashing_count", [1, 2, 3])
+@pytest.mark.parametrize("loss_probability", [0.0, 0.3])
+def test_all_items_complete_and_few_workers_crash(
+    crashing_count: int, loss_probability: float
+) -> None:
+    simulations = [
+        Simulation(seed, crashing_count, loss_probability) for seed in range(SIMULATIONS)
+    ]
+    assert [
+        seed for seed, simulation in enumerate(simulations) if simulation.incomplete_items
+    ] == []
+    late = {seed: simulation.late_runs for seed, simulation in enumerate(simulations)}
+    assert {seed: runs for seed, runs in late.items() if runs > MAX_LATE_RUNS} == {}
--- a/tests/quarantine/__init__.py
+++ b/tests/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what holds back requests that crash workers."""
+"""Tests of the quarantine for requests that crash workers."""
--- a/tests/quarantine/test_threads.py
+++ b/tests/quarantine/test_threads.py
@@ -1,4 +1,4 @@
-"""The quarantine of the own interface: threads, the table, and what a new process finds there."""
+"""The threaded quarantine: crash checks, and suspects stored in the table for the next process."""
 
 from __future__ import annotations
 
@@ -10,18 +10,23 @@
 
 from mountstand.clock import elapsed_s
 from mountstand.errors import RequestQuarantined, StoreUnavailable
-from mountstand.quarantine.threads import KEY_PREFIX, SAME_END_S, ContentQuarantine, TableSuspects
+from mountstand.quarantine.threads import (
+    CRASH_DEDUP_WINDOW_S,
+    KEY_PREFIX,
+    ContentQuarantine,
+    TableSuspects,
+)
 from mountstand.store.memory_table import MemoryTable
 from mountstand.store.ports import Machine, MachineRole, Put, Transaction
 from mountstand.telemetry.metrics import DaemonMetrics
 from tests.stand_ins.report_link import RecordingReportLink
 
-BAD, GOOD = 1, 2
-WAIT_S = 5.0
+CULPRIT, INNOCENT = 1, 2
+WAIT_TIMEOUT_S = 5.0
 
 
 def machine(number: int) -> Machine:
-    """Return a machine of the platform's list."""
+    """Return a machine as the platform lists it."""
     return Machine(
         machine_id=f"engine-{number}",
         role=MachineRole.ENGINE,
@@ -31,13 +36,13 @@
     )
 
 
-class AwayTable(MemoryTable):
-    """A table that can be away."""
+class FaultyTable(MemoryTable):
+    """A table that can be made unavailable for writes."""
 
-    away = False
+    unavailable = False
 
     def commit(self, transaction: Transaction):  # type: ignore[no-untyped-def]
-        if self.away:
+        if self.unavailable:
             raise StoreUnavailable()
         return super().commit(transaction)
 
@@ -45,16 +50,16 @@
 class Quarantine(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.table = AwayTable()
-        self.ended = True
+        self.table = FaultyTable()
+        self.crashed = True
 
     def start(self) -> ContentQuarantine:
-        """Start a daemon's quarantine before the table."""
+        """Start a quarantine that uses the table, as in a new process."""
         quarantine = ContentQuarantine(
             "a",
             RecordingReportLink(),
             TableSuspects(self.table),
-            lambda machine: self.ended,
+            lambda machine: self.crashed,
             DaemonMetrics(),
             1,
         )
@@ -62,95 +67,115 @@
         self.addCleanup(quarantine.stop)
         return quarantine
 
-    def wait(self, condition: Callable[[], bool], what: str) -> None:
-        deadline_s = time.monotonic() + WAIT_S
+    def wait_until(self, condition: Callable[[], bool], description: str) -> None:
+        deadline_s = time.monotonic() + WAIT_TIMEOUT_S
         while not condition():
             if time.monotonic() > deadline_s:
-                raise AssertionError(f"not so after {WAIT_S} s: {what}")
+                raise AssertionError(f"not within {WAIT_TIMEOUT_S} s: {description}")
             time.sleep(0.02)
 
     def block(self, quarantine: ContentQuarantine) -> None:
-        """Let three machines end under the bad content, one after the other."""
+        """Crash three machines, one after the other, while they run the culprit."""
         for number in range(3):
-            quarantine.note_broken(machine(number), BAD, elapsed_s())
-            self.wait(lambda n=number: self.ends(quarantine) == n + 1, "the end is counted")
+            quarantine.note_broken(machine(number), CULPRIT, elapsed_s())
+            self.wait_until(
+                lambda n=number: self.crashes(quarantine) == n + 1, "the crash is counted"
+            )
 
-    def ends(self, quarantine: ContentQuarantine) -> int:
-        suspect = quarantine.suspects.by_content.get(BAD)
+    def crashes(self, quarantine: ContentQuarantine) -> int:
+        suspect = quarantine.suspects.by_content.get(CULPRIT)
         return len(suspect.crash_by_worker) if suspect else 0
 
-    def is_blocked(self, quarantine: ContentQuarantine, content: int = BAD) -> bool:
+    def is_blocked(self, quarantine: ContentQuarantine, content: int = CULPRIT) -> bool:
         try:
             quarantine.check(content)
         except RequestQuarantined as error:
             return bool(error.retry_after_s)
         return False
 
-    def test_blocked_by_three_ends_and_found_by_the_next_process(self) -> None:
-        first = self.start()
-        self.block(first)
-        self.assertTrue(self.is_blocked(first))
-        self.assertFalse(self.is_blocked(first, GOOD))
-        self.wait(lambda: bool(self.table.read(prefixes=(KEY_PREFIX,)).rows), "it is kept")
-        self.wait(lambda: self.is_blocked(self.start()), "the next process knows")
-
-    def test_a_row_that_cannot_be_read_is_passed_over(self) -> None:
-        bad_row = Put(key=f"{KEY_PREFIX}zz", value={"ends": 3})
-        self.table.commit(Transaction(puts=[bad_row]))
+    def test_blocked_after_three_crashes_and_restored_in_the_next_process(self) -> None:
         quarantine = self.start()
         self.block(quarantine)
-        self.wait(lambda: len(self.table.read(prefixes=(KEY_PREFIX,)).rows) == 2, "it is kept")
+        self.assertTrue(self.is_blocked(quarantine))
+        self.assertFalse(self.is_blocked(quarantine, INNOCENT))
+        self.wait_until(
+            lambda: bool(self.table.read(prefixes=(KEY_PREFIX,)).rows), "the row is stored"
+        )
+        self.wait_until(
+            lambda: self.is_blocked(self.start()), "the next process blocks the culprit"
+        )
 
-    def test_what_the_table_did_not_take_is_written_when_it_is_back(self) -> None:
-        self.table.away = True
+    def test_unreadable_rows_are_skipped(self) -> None:
+        unreadable_row = Put(key=f"{KEY_PREFIX}zz", value={"ends": 3})
+        self.table.commit(Transaction(puts=[unreadable_row]))
+        quarantine = self.start()
+        self.block(quarantine)
+        self.wait_until(
+            lambda: len(self.table.read(prefixes=(KEY_PREFIX,)).rows) == 2, "the row is stored"
+        )
+
+    def test_failed_writes_are_retried_when_the_table_is_back(self) -> None:
+        self.table.unavailable = True
         quarantine = self.start()
         self.block(quarantine)
         self.assertTrue(self.is_blocked(quarantine))
-        self.table.away = False
-        self.wait(lambda: bool(self.table.read(prefixes=(KEY_PREFIX,)).rows), "it is kept")
+        self.table.unavailable = False
+        self.wait_until(
+            lambda: bool(self.table.read(prefixes=(KEY_PREFIX,)).rows), "the row is stored"
+        )
 
-    def test_a_machine_that_accepts_connections_did_not_end(self) -> None:
-        self.ended = False
+    def test_machine_that_accepts_connections_has_not_crashed(self) -> None:
+        self.crashed = False
         quarantine = self.start()
-        quarantine.note_broken(machine(0), BAD, elapsed_s())
+        quarantine.note_broken(machine(0), CULPRIT, elapsed_s())
         time.sleep(0.4)
         self.assertFalse(quarantine.suspects)
 
-    def test_one_machine_that_ends_again_and_again_counts_each_time(self) -> None:
-        """A service with one worker, whose machine keeps its id."""
+    def test_repeated_crashes_of_one_machine_each_count(self) -> None:
+        """The machine keeps its id across restarts, as in a service with a single worker."""
         quarantine = self.start()
         for number in range(3):
-            quarantine.note_broken(machine(0), BAD, elapsed_s())
-            self.wait(lambda n=number: self.ends(quarantine) == n + 1, "the end is counted")
-            time.sleep(SAME_END_S if number < 2 else 0.0)
+            quarantine.note_broken(machine(0), CULPRIT, elapsed_s())
+            self.wait_until(
+                lambda n=number: self.crashes(quarantine) == n + 1, "the crash is counted"
+            )
+            time.sleep(CRASH_DEDUP_WINDOW_S if number < 2 else 0.0)
         self.assertTrue(self.is_blocked(quarantine))
 
-    def test_a_whole_answer_clears(self) -> None:
+    def test_complete_response_clears_the_content(self) -> None:
         quarantine = self.start()
         self.block(quarantine)
-        quarantine.note_served(BAD)
+        quarantine.note_served(CULPRIT)
         self.assertFalse(self.is_blocked(quarantine))
 
-    def test_strong_suspects_are_kept_apart(self) -> None:
+    def test_strong_suspects_do_not_share_a_machine(self) -> None:
         quarantine = self.start()
         for number in range(2):
-            for content in (BAD, GOOD):
+            for content in (CULPRIT, INNOCENT):
                 quarantine.note_broken(machine(number), content, elapsed_s())
-            self.wait(lambda n=number: self.ends(quarantine) == n + 1, "the end is counted")
-        kept: dict[bool, int] = {True: 0, False: 0}
+            self.wait_until(
+                lambda n=number: self.crashes(quarantine) == n + 1, "the crash is counted"
+            )
+        reserved: dict[bool, int] = {True: 0, False: 0}
         for number in range(5, 25):
             with (
-                quarantine.running(BAD, machine(number)) as first,
-                quarantine.running(GOOD, machine(number)) as second,
+                quarantine.running(CULPRIT, machine(number)) as culprit_allowed,
+                quarantine.running(INNOCENT, machine(number)) as innocent_allowed,
             ):
-                self.assertNotEqual(first, second, "a machine is for one of them")
-                kept[first] += 1
-            with quarantine.running(GOOD, machine(number)) as alone:
-                self.assertEqual(second, alone, "also while the other does not run here")
-        self.assertTrue(all(kept.values()), "each has machines to run at")
-
-    def test_check_names_the_content(self) -> None:
+                self.assertNotEqual(
+                    culprit_allowed, innocent_allowed, "each machine is reserved for one of them"
+                )
+                reserved[culprit_allowed] += 1
+            with quarantine.running(INNOCENT, machine(number)) as allowed_alone:
+                self.assertEqual(
+                    innocent_allowed,
+                    allowed_alone,
+                    "the reservation also holds while the other is not running",
+                )
+        self.assertTrue(all(reserved.values()), "each of them has machines reserved")
+
+    def test_error_names_the_content(self) -> None:
         quarantine = self.start()
         self.block(quarantine)
         with testtools.ExpectedException(RequestQuarantined, ".*0000000000000001.*"):
-            quarantine.check(BAD)
+            quarantine.check(CULPRIT)
