--- a/mountstand/limits/__init__.py
+++ b/mountstand/limits/__init__.py
@@ -1,1 +1,1 @@
-"""What daemons share out among themselves, so that no window of time holds more than a bound."""
+"""Division of rate limits and other quotas among daemons, and sliding-window counters."""
--- a/mountstand/limits/dealt.py
+++ b/mountstand/limits/dealt.py
@@ -1,8 +1,9 @@
-"""Deals a whole number of units out among daemons, so that all parts together are just the whole.
+"""Allocation of an integer quota among daemons.
 
-An even part of a small bound is less than one unit for each daemon of a large fleet, and rounding
-it up would multiply the bound. Here the units go to daemons by rendezvous hashing, so that all
-daemons come to the same result alone, and one that joins or leaves moves few units.
+In a large fleet, an equal share of a small quota is less than one unit, and rounding it up on each
+daemon would multiply the quota. Here every daemon gets the whole part of an equal share, and
+rendezvous hashing assigns the remaining units. All daemons compute the same allocation without
+communication, and one that joins or leaves moves few units.
 """
 
 from __future__ import annotations
@@ -13,16 +14,18 @@
 
 
 def allocated_units(units: int, key: str, own_name: str, sharers: Collection[str]) -> int:
-    """Return how many of ``units`` are ``own_name``'s, of what ``key`` names; none if it is no sharer.
+    """Return how many of the ``units`` of quota ``key`` are allocated to ``own_name``.
+
+    Returns 0 if ``own_name`` is not among ``sharers``. Over all sharers the sum is ``units``.
 
     >>> sum(allocated_units(7, "w1", name, ("a", "b", "c")) for name in ("a", "b", "c"))
     7
     """
     if own_name not in sharers:
         return 0
-    each, left = divmod(units, len(sharers))
-    if not left:
-        return each
+    base, remainder = divmod(units, len(sharers))
+    if not remainder:
+        return base
     weight = (rendezvous_weight(key, own_name), own_name)
-    before = sum((rendezvous_weight(key, name), name) > weight for name in sharers)
-    return each + (before < left)
+    rank = sum((rendezvous_weight(key, name), name) > weight for name in sharers)
+    return base + (rank < remainder)
--- a/mountstand/limits/sharing.py
+++ b/mountstand/limits/sharing.py
@@ -1,11 +1,13 @@
-"""Which part of every limit one daemon keeps by itself: an even one among those that serve.
+"""Division of every limit into equal shares among the daemons that serve callers.
 
-Which daemons serve follows from the list in the store, not from who is believed to run: one that
-is silent may still let requests through, so its part stays its own. Where daemons are gone, their
-parts are missing until the list drops them; limits are well above what tenants usually ask for.
+Which daemons serve is defined by the registry in the store, not by observed liveness: a daemon that
+is unreachable may still admit requests, so it keeps its share. The shares of crashed daemons stay
+unused until the registry drops them, which is acceptable because tenants usually stay well below
+their limits.
 
-What a daemon let through before it left counts for one window more. Its part is shared out after
-that: in a series of planned stops the last daemon would otherwise begin with the whole limit.
+What a daemon admitted before it left counts for one more window, so its share is redistributed only
+after that. Otherwise, during a sequence of planned stops, the last daemon would start with the full
+limit.
 """
 
 from __future__ import annotations
@@ -14,11 +16,11 @@
 
 
 class LimitSharing:
-    """One daemon's place among those that serve callers."""
+    """One daemon's share of every limit, and the daemons that it shares limits with."""
 
     __slots__ = (
-        "_fleet",
-        "_left_at_s",
+        "_departed_at_s",
+        "_serving",
         "has_reserved_shares",
         "own_name",
         "peers",
@@ -28,46 +30,51 @@
 
     def __init__(self, own_name: str) -> None:
         self.own_name = own_name
-        self._fleet: frozenset[str] = frozenset()
-        self._left_at_s: dict[str, float] = {}
+        self._serving: frozenset[str] = frozenset()
+        self._departed_at_s: dict[str, float] = {}
         self.share = 0.0
-        """The part of every limit that is this daemon's own, from 0 to 1."""
+        """The fraction of every limit that this daemon owns, from 0 to 1."""
 
         self.sharers: tuple[str, ...] = ()
-        """All daemons that a limit is shared out among, in order: those that serve, and those that
-        left so shortly before that their part is kept back."""
+        """All daemons that limits are divided among, in order.
+
+        They are those that serve, and those that left recently, whose shares are still reserved.
+        """
 
         self.has_reserved_shares = False
-        """Whether parts of daemons that left are kept back; ``update_members`` must be called again then."""
+        """Whether shares of departed daemons are reserved.
+
+        If so, ``update_members`` must be called again when the reservation ends.
+        """
 
         self.peers: list[str] = []
-        """The other daemons that serve and are believed to run."""
+        """The other serving daemons that are believed to be running, in order."""
 
     def update_members(
         self,
-        fleet: Collection[str],
+        serving: Collection[str],
         running: Collection[str],
         now_s: float = 0.0,
         leaving: Collection[str] = (),
-        hold_s: float = 0.0,
+        reserve_s: float = 0.0,
     ) -> None:
-        """Take the daemons that serve by the store's list, and those believed to run.
+        """Update the serving daemons from the registry, and the set of those that are running.
 
-        ``leaving`` are daemons that the list names as leaving; the part of one that left is kept
-        back for ``hold_s``.
+        ``leaving`` are daemons that the registry lists as leaving; they no longer serve. The share
+        of a daemon stays reserved for ``reserve_s`` after it stopped serving.
         """
-        fleet = frozenset(fleet)
-        gone = (self._fleet | frozenset(leaving)) - fleet
-        self._left_at_s = {
+        serving = frozenset(serving)
+        departed = (self._serving | frozenset(leaving)) - serving
+        self._departed_at_s = {
             name: at_s
-            for name, at_s in self._left_at_s.items()
-            if name not in fleet and (name in leaving or now_s - at_s < hold_s)
+            for name, at_s in self._departed_at_s.items()
+            if name not in serving and (name in leaving or now_s - at_s < reserve_s)
         }
-        for name in gone:
-            self._left_at_s.setdefault(name, now_s)
-        held = {name for name, at_s in self._left_at_s.items() if now_s - at_s < hold_s}
-        self._fleet = fleet
-        self.has_reserved_shares = bool(held)
-        self.sharers = tuple(sorted(fleet | held))
-        self.share = 1 / len(self.sharers) if self.own_name in fleet else 0.0
-        self.peers = sorted(fleet & frozenset(running) - {self.own_name})
+        for name in departed:
+            self._departed_at_s.setdefault(name, now_s)
+        reserved = {name for name, at_s in self._departed_at_s.items() if now_s - at_s < reserve_s}
+        self._serving = serving
+        self.has_reserved_shares = bool(reserved)
+        self.sharers = tuple(sorted(serving | reserved))
+        self.share = 1 / len(self.sharers) if self.own_name in serving else 0.0
+        self.peers = sorted(serving & frozenset(running) - {self.own_name})
--- a/mountstand/tenants/__init__.py
+++ b/mountstand/tenants/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants: whose key a caller presents, and how many requests each tenant may send."""
+"""Tenants: identification of callers by API key, and rate limits per tenant."""
--- a/mountstand/tenants/access.py
+++ b/mountstand/tenants/access.py
@@ -1,4 +1,4 @@
-"""Who a caller is, and whether its tenant may send one more request."""
+"""Authentication of callers by API key, and enforcement of their tenants' rate limits."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class CallerAccess:
-    """Tells callers by their keys, and keeps the limits of their tenants.
+    """Identifies callers by their keys and enforces their tenants' limits.
 
-    ``may_be_stale`` says whether the configuration may have changed without this daemon's
-    knowledge. A key that such a daemon does not know may have been added: it refuses in a way that
-    sends the caller to another daemon, where one that is up to date says that the key is wrong.
+    ``may_be_stale`` returns whether this daemon's configuration may be out of date. If it may be,
+    an unknown key may have been added recently, so the caller gets an error that makes it try
+    another daemon. Only a daemon with a current configuration rejects the key as unknown.
     """
 
     __slots__ = ("_gate", "_log", "_may_be_stale", "_metrics")
@@ -34,9 +34,11 @@
         self._log = log
 
     def identify(self, tenants: TenantIndex, key: str | None, *, public: bool) -> Tenant | None:
-        """Return the tenant of a caller, or ``None`` where it needs no key and has none.
+        """Return the tenant that holds ``key``, or ``None`` if none does and no key is required.
 
-        Raises ``UnknownKey`` or ``KeyNotVerifiable``.
+        No key is required for public routes, or if no tenants are configured. Otherwise raises
+        ``UnknownKey``, or ``KeyNotVerifiable`` if an unknown key was sent and the configuration may
+        be out of date.
         """
         tenant = tenants.find_by_key(key)
         if tenant is not None or public or not tenants:
@@ -48,7 +50,10 @@
         raise UnknownKey(f"key {fingerprint(key)}" if key else "no key")
 
     async def admit(self, tenant: Tenant | None, request_id: str) -> None:
-        """Count a request of a tenant. Raises ``TenantOverLimit`` with the time to come back."""
+        """Count a request against its tenant's limit.
+
+        Raises ``TenantOverLimit``, with the time to wait before a retry, if the limit is reached.
+        """
         if tenant is None or self._gate.try_acquire(tenant):
             return
         retry_after_s = await self._gate.borrow_or_reject(tenant)
@@ -66,6 +71,6 @@
         raise TenantOverLimit(f"tenant {tenant.name}", retry_after_s=retry_after_s)
 
     def refund(self, tenant: Tenant | None) -> None:
-        """Count a request no more that reached no worker."""
+        """Give back the quota consumed by a request that reached no worker."""
         if tenant is not None:
             self._gate.refund(tenant)
--- a/mountstand/tenants/errors.py
+++ b/mountstand/tenants/errors.py
@@ -1,4 +1,4 @@
-"""Errors of callers' keys and limits."""
+"""Errors for callers with an unknown key or above their tenant's limit."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class UnknownKey(RequestRejected):
-    """No tenant holds the key, or none was sent where one is needed."""
+    """The key belongs to no tenant, or the caller sent no key where one is required."""
 
     code = "unknown_key"
     title = "The key is missing or belongs to no tenant"
@@ -15,7 +15,7 @@
 
 
 class KeyNotVerifiable(MountstandError):
-    """The key is not known here, but the configuration here may be out of date."""
+    """The key is unknown to this daemon, whose configuration may be out of date."""
 
     code = "key_not_verifiable"
     title = "This daemon cannot tell whether the key is valid"
@@ -26,7 +26,7 @@
 
 
 class TenantOverLimit(MountstandError):
-    """The tenant sends more than it may."""
+    """The tenant has exceeded its rate limit."""
 
     code = "tenant_over_limit"
     title = "The tenant is over its limit of requests"
--- a/mountstand/tenants/gate.py
+++ b/mountstand/tenants/gate.py
@@ -1,9 +1,9 @@
-"""Lets requests of tenants through, and asks other daemons where this one runs short.
+"""Admission control for tenants, with quota borrowed from peers when the local quota runs out.
 
-Most requests fit into this daemon's part of the limit. One that does not waits for the answers of
-the other daemons, some milliseconds; all requests of a tenant that wait share one question. Where
-nobody has anything to spare, the tenant is at its limit: its further requests are refused at once
-for a moment.
+Most requests are admitted from this daemon's own quota. When it is exhausted, a request waits a few
+milliseconds for grants from peers; all waiting requests of a tenant share one borrow request. If no
+peer has quota available, the tenant is at its limit: for ``BORROW_BACKOFF_S``, further requests
+beyond the local quota are rejected without asking peers.
 """
 
 from __future__ import annotations
@@ -18,88 +18,103 @@
 from mountstand.wire.gossip import TokenAsk, TokenGrant
 
 GRANT_TIMEOUT_S = 0.03
-"""How long answers are waited for: a datagram there and back takes two milliseconds between zones,
-and a busy daemon some more. Answers that come later still count for later requests."""
+"""How long to wait for grants in one round.
+
+A round trip between zones takes about 2 ms, and a busy daemon adds some. Grants that arrive later
+count for later requests.
+"""
 
 MAX_BORROW_ROUNDS = 3
-"""Questions that one request waits for at most. The first asks every other daemon for an even share
-of what is lacking; the next ones ask those that had it for what others did not have."""
+"""Maximum number of borrow rounds per request.
+
+The first round asks up to ``MAX_PEERS_PER_ROUND`` random peers for equal parts of the shortfall.
+Later rounds ask only those that lent their full part, for what is still missing.
+"""
 
 MAX_PEERS_PER_ROUND = 24
-"""Daemons that one question goes to at most, so that its cost has a bound in any fleet."""
+"""Maximum number of peers asked in a round; bounds the number of messages in large fleets."""
 
 BORROW_BACKOFF_S = 0.25
-"""How long a tenant's requests are refused at once after nobody had anything to spare. What comes
-back meanwhile is found by the next question."""
+"""How long requests beyond the local quota are rejected without asking peers after a failure.
 
+A failure means that no peer had enough quota available, or that none replied in time.
+"""
 
 RECENT_REJECTION_S = 1.0
-"""Requests that were refused within this time are counted as coming back before a further one."""
+"""Rejections within this time count as ahead of a new one when its retry time is computed."""
 
 
 @dataclass(slots=True)
 class _Shortage:
-    """A tenant of which some requests wait for tokens, or were refused a moment ago."""
+    """State of a tenant that has exhausted this daemon's own quota."""
 
     waiting_requests: int = 0
-    reply_received: asyncio.Future[None] | None = None
+    round_done: asyncio.Future[None] | None = None
+    """Completes when the current borrow round ends; ``None`` while there is none."""
+
     backoff_until_s: float = float("-inf")
     rejected_at_s: list[float] = field(default_factory=list)
-    """When requests were refused lately."""
+    """Times of recent rejections."""
 
 
 class LimitGate:
-    """Counts requests against this daemon's parts of the limits, and borrows from others."""
+    """Admits requests against this daemon's quotas, and borrows quota from peers."""
 
     def __init__(self, limits: TenantLimits, link: MessageLink, rng: random.Random) -> None:
         self.limits = limits
         self._link = link
         self._rng = rng
         self._shortage_by_tenant: dict[str, _Shortage] = {}
-        self._future_by_number: dict[int, asyncio.Future[None]] = {}
+        self._round_done_by_request: dict[int, asyncio.Future[None]] = {}
 
     def try_acquire(self, tenant: Tenant) -> bool:
-        """Count a request if it fits into this daemon's part; returns whether it does."""
+        """Consume quota for one request if it is available locally; return whether it was."""
         return self.limits.try_acquire(tenant, self._now_s())
 
     def refund(self, tenant: Tenant) -> None:
-        """Count a request no more that reached no worker."""
+        """Give back the quota consumed by a request that reached no worker."""
         self.limits.refund(tenant, self._now_s())
 
     async def borrow_or_reject(self, tenant: Tenant) -> float | None:
-        """Count a request with the help of others; returns ``None``, or when one may fit."""
+        """Consume quota for one request, borrowing it from peers, or record its rejection.
+
+        Returns ``None`` if the request is admitted, otherwise the seconds to wait before a retry.
+        """
         loop = asyncio.get_running_loop()
         shortage = self._shortage_by_tenant.setdefault(tenant.name, _Shortage())
         if loop.time() >= shortage.backoff_until_s:
             shortage.waiting_requests += 1
             try:
-                if await self._ask_around(tenant, shortage):
+                if await self._borrow_from_peers(tenant, shortage):
                     return None
             finally:
                 shortage.waiting_requests -= 1
             shortage.backoff_until_s = loop.time() + BORROW_BACKOFF_S
-        return self._refuse(tenant, shortage, loop.time())
+        return self._reject(tenant, shortage, loop.time())
 
     def handle(self, sender: str, message: TokenAsk | TokenGrant) -> None:
-        """Answer another daemon's question, or take its answer."""
+        """Reply to a peer's borrow request, or process its grant."""
         now_s = self._now_s()
         if isinstance(message, TokenAsk):
             self._link.send(self.limits.lend(message, now_s), (sender,))
             return
         replies_pending = self.limits.receive_grant(sender, message, now_s)
-        reply_received = self._future_by_number.get(message.number)
-        if not replies_pending and reply_received is not None and not reply_received.done():
-            reply_received.set_result(None)
+        round_done = self._round_done_by_request.get(message.number)
+        if not replies_pending and round_done is not None and not round_done.done():
+            round_done.set_result(None)
 
-    async def _ask_around(self, tenant: Tenant, shortage: _Shortage) -> bool:
-        """Ask the others until there is enough or nobody has anything to spare."""
+    async def _borrow_from_peers(self, tenant: Tenant, shortage: _Shortage) -> bool:
+        """Borrow until the request is admitted, no peer has quota left or the rounds are used up.
+
+        Returns whether the request was admitted.
+        """
         peers = self.limits.limit_sharing.peers
         if len(peers) > MAX_PEERS_PER_ROUND:
             peers = self._rng.sample(peers, MAX_PEERS_PER_ROUND)
         for _ in range(MAX_BORROW_ROUNDS):
             if not peers:
                 return False
-            peers = await self._ask(tenant, shortage, peers)
+            peers = await self._run_round(tenant, shortage, peers)
             if self.try_acquire(tenant):
                 return True
         return False
@@ -107,33 +122,34 @@
     def _now_s(self) -> float:
         return asyncio.get_running_loop().time()
 
-    async def _ask(self, tenant: Tenant, shortage: _Shortage, peers: list[str]) -> list[str]:
-        """Ask ``peers`` for what is lacking, or wait for the question under way.
+    async def _run_round(self, tenant: Tenant, shortage: _Shortage, peers: list[str]) -> list[str]:
+        """Ask ``peers`` for the missing quota, or wait for the tenant's round in progress.
 
-        Returns those that may have more to spare.
+        Returns the peers that may have more available.
         """
-        if shortage.reply_received is not None:
-            await asyncio.wait([shortage.reply_received], timeout=GRANT_TIMEOUT_S)
+        if shortage.round_done is not None:
+            await asyncio.wait([shortage.round_done], timeout=GRANT_TIMEOUT_S)
             return peers
         loop = asyncio.get_running_loop()
         shortfall = self.limits.shortfall(tenant, shortage.waiting_requests, loop.time())
-        request = self.limits.ask(tenant, shortfall, peers, loop.time())
-        reply_received: asyncio.Future[None] = loop.create_future()
-        shortage.reply_received = self._future_by_number[request.number] = reply_received
+        ask = self.limits.create_borrow_request(tenant, shortfall, peers, loop.time())
+        round_done: asyncio.Future[None] = loop.create_future()
+        shortage.round_done = self._round_done_by_request[ask.number] = round_done
         try:
-            self._link.send(request, peers)
-            await asyncio.wait([reply_received], timeout=GRANT_TIMEOUT_S)
+            self._link.send(ask, peers)
+            await asyncio.wait([round_done], timeout=GRANT_TIMEOUT_S)
         finally:
-            shortage.reply_received = None
-            del self._future_by_number[request.number]
-            if not reply_received.done():
-                reply_received.set_result(None)
-        return self.limits.full_lenders(request.number)
+            shortage.round_done = None
+            del self._round_done_by_request[ask.number]
+            if not round_done.done():
+                round_done.set_result(None)
+        return self.limits.full_lenders(ask.number)
 
-    def _refuse(self, tenant: Tenant, shortage: _Shortage, now_s: float) -> float:
-        """Return when a request that is refused now may fit.
+    def _reject(self, tenant: Tenant, shortage: _Shortage, now_s: float) -> float:
+        """Record a rejection and return the seconds to wait before a retry.
 
-        Requests that were refused a moment ago come back first, each when one more fits.
+        Recently rejected requests are assumed to retry first, one for each request whose usage
+        expires, so no rejection gets an earlier time than the one before it.
         """
         shortage.rejected_at_s = [
             at_s for at_s in shortage.rejected_at_s if now_s - at_s < RECENT_REJECTION_S
--- a/mountstand/tenants/marks.py
+++ b/mountstand/tenants/marks.py
@@ -1,12 +1,13 @@
-"""What the store says of the requests that a daemon let through, for the process after it.
+"""Checkpoints of a daemon's usage of tenants' limits, read by the next process after a restart.
 
-A process that starts must count what the ones before it let through within the window. Its row in
-the store tells that by tenant and time, but for what was used since the row was written: that is
-bounded by the unmarked allowance, which the next process counts in full for every tenant. So little
-is missing after a start, and it comes back as the window moves on.
+A starting process must count the requests that its predecessors admitted within the window. The
+daemon's row in the store lists them by tenant and time, except for usage since the row was written.
+That usage is bounded by the uncheckpointed allowance, which the next process counts as consumed in
+full for every tenant, until the window has moved past the restart.
 
-While the store takes no rows, the unmarked allowance is all that may be used. Most tenants stay
-below it and are never written.
+While the store accepts no writes, a daemon may consume no more than the uncheckpointed allowance
+beyond its last checkpoint. Tenants with low usage are left out of the checkpoint; that is most of
+them.
 """
 
 from __future__ import annotations
@@ -15,19 +16,25 @@
 from dataclasses import dataclass, field
 
 TimedAmounts = tuple[tuple[float, float], ...]
-"""Requests by the time at which they were let through, in seconds, in rising order."""
+"""Pairs of the time from which an amount counts for a window, in seconds, and the amount.
 
-SHARE_TOLERANCE = 1.05
-"""A daemon whose part of every limit has grown by more than this writes its row anew: the process
-after it must know how large the unmarked allowance was."""
+Amounts are in requests; pairs are in ascending order of time.
+"""
+
+MAX_SHARE_GROWTH_FACTOR = 1.05
+"""Factor by which a daemon's share may grow before it writes a new checkpoint.
+
+The next process derives the uncheckpointed allowance from the share in the checkpoint.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class PriorUsage:
-    """What the processes before this one let through, by the clock of this one.
+    """What earlier processes of this daemon consumed, by the clock of this process.
 
-    Before each of ``start_times_s``, which are those of this process and of others within a window, an
-    unmarked allowance at ``share`` of every limit may have been used beside ``by_tenant``.
+    ``start_times_s`` are the starts of this process and of earlier ones within the window. Before
+    each, an uncheckpointed allowance at ``share`` of every limit may have been consumed in addition
+    to ``by_tenant``.
     """
 
     start_times_s: tuple[float, ...] = ()
@@ -37,29 +44,32 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageSnapshot:
-    """What this process let through within the window, by tenant, and its part of every limit."""
+    """A daemon's usage within the window, by tenant number, and its share of every limit."""
 
     share: float
     by_tenant: Mapping[int, TimedAmounts]
 
 
 class CheckpointState:
-    """Whether the row of this process is there, and whether it should be written.
+    """What this process read from the store at its start, and what it last wrote there.
 
-    ``on_write_requested`` is called when it should be written soon.
+    ``on_write_requested`` is called when a new checkpoint should be written soon.
     """
 
-    __slots__ = ("prior_usage", "on_write_requested", "share")
+    __slots__ = ("on_write_requested", "prior_usage", "share")
 
     def __init__(self) -> None:
         self.prior_usage: PriorUsage | None = None
-        """What the store told at the start, ``None`` until it has."""
+        """Usage of earlier processes; ``None`` until it has been read.
+
+        Until then, only the startup quota may be consumed.
+        """
 
         self.share = 0.0
-        """The part of every limit that the row names: the unmarked allowance is a share of it."""
+        """This daemon's share of every limit in the last checkpoint written, from 0 to 1."""
 
         self.on_write_requested: Callable[[], object] = lambda: None
 
     def request_write(self) -> None:
-        """Ask for the row to be written."""
+        """Request a write of the checkpoint."""
         self.on_write_requested()
--- a/mountstand/tenants/stored_marks.py
+++ b/mountstand/tenants/stored_marks.py
@@ -1,4 +1,4 @@
-"""Keeps what a daemon let through in its row of the store, and reads that of the one before it."""
+"""Writes a daemon's usage checkpoint to the store, and reads that of its predecessor."""
 
 from __future__ import annotations
 
@@ -14,24 +14,26 @@
 from mountstand.tenants.marks import PriorUsage, TimedAmounts, UsageSnapshot
 
 TENANT_USAGE_TABLE = "tenant_use"
-"""The table of marks; each daemon has one row."""
+"""Table of usage checkpoints, with one row for each daemon."""
 
 STORE_RETRY_DELAY_S = 0.25
-"""Pause after a call to the store that failed."""
+"""Delay before a failed call to the store is retried."""
 
 MIN_WRITE_INTERVAL_S = 0.2
-"""Pause after a row was written; what is wanted meanwhile is written together."""
+"""Minimum pause between writes; write requests made meanwhile share the next write."""
 
 CHECKPOINT_BUCKET_S = 0.5
-"""Amounts that were let through within so long stand together in the row, as of the last: they
-count a quarter of a second too long on average, for a tenth of the bytes."""
+"""Width of the time buckets in a checkpoint, which reduce the size of the row.
+
+A bucket carries the time of its last amount, so the others count for up to this much too long.
+"""
 
 
 class UsageCheckpointWriter:
-    """Writes this daemon's row whenever it is wanted.
+    """Reads the predecessor's checkpoint, then writes this daemon's checkpoint on request.
 
-    ``store_now_ms`` returns the store's clock and raises ``StoreError`` where it is not known.
-    ``get_window_s`` is how long requests count, ``started_at_s`` when this process started.
+    ``store_now_ms`` returns the store's current time and raises ``StoreError`` if it is not known.
+    ``get_window_s`` returns the window's length; ``started_at_s`` is the start of this process.
     """
 
     def __init__(
@@ -48,40 +50,40 @@
         self._store = store
         self._key = RowKey(TENANT_USAGE_TABLE, "", name)
         self._store_now_ms = store_now_ms
-        self._window_s = get_window_s
+        self._get_window_s = get_window_s
         self._log = log
-        self._began_s = started_at_s
-        self._starts_s: tuple[float, ...] = ()
+        self._started_at_s = started_at_s
+        self._start_times_s: tuple[float, ...] = ()
         self._version = ABSENT
-        self._wanted = asyncio.Event()
-        limits.marks.on_write_requested = self._wanted.set
+        self._write_requested = asyncio.Event()
+        limits.checkpoint.on_write_requested = self._write_requested.set
 
     async def run(self) -> None:
-        """Take over what the store has of the process before, then write what is wanted."""
-        await self._begin()
+        """Load the predecessor's checkpoint, then write a checkpoint whenever one is requested."""
+        await self._load_prior_usage()
         while True:
-            await self._wanted.wait()
-            self._wanted.clear()
+            await self._write_requested.wait()
+            self._write_requested.clear()
             snapshot = self._limits.snapshot(_now_s())
             try:
                 await self._write(snapshot)
-            except StoreError as problem:
+            except StoreError as error:
                 self._log.event(
-                    "mark_delayed", cause=type(problem).__name__, tenants=len(snapshot.by_tenant)
+                    "mark_delayed", cause=type(error).__name__, tenants=len(snapshot.by_tenant)
                 )
                 await asyncio.sleep(STORE_RETRY_DELAY_S)
-                await self._learn_version()
-                self._wanted.set()
+                await self._reload_version()
+                self._write_requested.set()
                 continue
             self._limits.record_checkpoint(snapshot, _now_s())
             await asyncio.sleep(MIN_WRITE_INTERVAL_S)
 
-    async def _begin(self) -> None:
-        """Learn what the processes before may have used, and note the start of this one."""
+    async def _load_prior_usage(self) -> None:
+        """Apply the usage of earlier processes, and record the start of this one in the store."""
         while True:
             try:
                 prior_usage = await self._read()
-                self._starts_s = prior_usage.starts_s or (self._began_s,)
+                self._start_times_s = prior_usage.start_times_s or (self._started_at_s,)
                 share = max(prior_usage.share, self._limits.limit_sharing.share)
                 snapshot = UsageSnapshot(share, prior_usage.by_tenant)
                 await self._write(snapshot)
@@ -90,15 +92,16 @@
                 continue
             self._limits.apply_prior_usage(prior_usage, _now_s())
             self._limits.record_checkpoint(snapshot, _now_s())
-            if prior_usage.starts_s:
+            if prior_usage.start_times_s:
                 self._log.event(
                     "limits_held_back",
-                    starts=len(prior_usage.starts_s),
+                    starts=len(prior_usage.start_times_s),
                     tenants=len(prior_usage.by_tenant),
                 )
             return
 
     async def _read(self) -> PriorUsage:
+        """Read the row, remember its version and return the usage that it records."""
         key = self._key
         page = await self._store.read(key.table, key.part, key.key, key.key + "\x00", 1)
         self._version = page.rows[0].version if page.rows else ABSENT
@@ -107,62 +110,65 @@
         now_s = _now_s()
         fields = orjson.loads(page.rows[0].value)
         row_at_s = now_s - (page.now_ms - fields["at_ms"]) / 1000
-        counts_s = now_s - self._window_s() - LOAN_TTL_S
-        starts_s = [row_at_s - age_ms / 1000 for age_ms in fields["start_ages_ms"]]
+        oldest_s = now_s - self._get_window_s() - LOAN_TTL_S
+        start_times_s = [row_at_s - age_ms / 1000 for age_ms in fields["start_ages_ms"]]
         return PriorUsage(
-            (*(at_s for at_s in starts_s if at_s > counts_s), self._began_s),
+            (*(at_s for at_s in start_times_s if at_s > oldest_s), self._started_at_s),
             float(fields["share"]),
-            dict(_decoded(fields["used"], row_at_s, counts_s)),
+            dict(_decode(fields["used"], row_at_s, oldest_s)),
         )
 
-    async def _learn_version(self) -> None:
-        """Read the row's version after a write of which it is not known whether it was done."""
+    async def _reload_version(self) -> None:
+        """Read the row's version after a write whose outcome is unknown."""
         try:
             await self._read()
-        except StoreError as problem:
-            self._log.event("mark_unsure", cause=type(problem).__name__)
+        except StoreError as error:
+            self._log.event("mark_unsure", cause=type(error).__name__)
 
     async def _write(self, snapshot: UsageSnapshot) -> None:
-        """Write the row, unless a late write of the process before came in between."""
+        """Write the checkpoint.
+
+        Raises ``StoreError`` if the row has changed, as by a late write of the predecessor.
+        """
         now_s = _now_s()
-        oldest_s = now_s - self._window_s() - LOAN_TTL_S
-        self._starts_s = tuple(at_s for at_s in self._starts_s if at_s > oldest_s)
+        oldest_s = now_s - self._get_window_s() - LOAN_TTL_S
+        self._start_times_s = tuple(at_s for at_s in self._start_times_s if at_s > oldest_s)
         fields = {
             "at_ms": self._store_now_ms(),
             "share": snapshot.share,
-            "start_ages_ms": [_ms(now_s - at_s) for at_s in self._starts_s],
-            "used": _encoded(snapshot.by_tenant, now_s),
+            "start_ages_ms": [_ms(now_s - at_s) for at_s in self._start_times_s],
+            "used": _encode(snapshot.by_tenant, now_s),
         }
         row = (self._key, orjson.dumps(fields))
         condition = (self._key, self._version)
         self._version = await self._store.commit(Transaction(conditions=[condition], puts=[row]))
 
 
-def _encoded(by_tenant: Mapping[int, TimedAmounts], now_s: float) -> list[list[Any]]:
-    """Return a row's entries: a tenant's number, then pairs of an age and an amount."""
+def _encode(by_tenant: Mapping[int, TimedAmounts], now_s: float) -> list[list[Any]]:
+    """Encode as ``[tenant number, [age in ms, thousandths of requests], ...]`` for each tenant."""
     entries: list[list[Any]] = []
     for number, amounts in by_tenant.items():
         pairs = [
             [_ms(now_s - at_s), round(amount * UNITS_PER_REQUEST)]
-            for at_s, amount in _buckets(amounts)
+            for at_s, amount in _merge_into_buckets(amounts)
         ]
         entries.append([number, *pairs])
     return entries
 
 
-def _buckets(amounts: TimedAmounts) -> list[tuple[float, float]]:
-    """Return amounts summed up by time, each sum as of its last amount."""
+def _merge_into_buckets(amounts: TimedAmounts) -> list[tuple[float, float]]:
+    """Sum up amounts within ``CHECKPOINT_BUCKET_S``, each sum at the time of its last amount."""
     buckets: list[tuple[float, float, float]] = []
     for at_s, amount in amounts:
         if buckets and at_s - buckets[-1][0] < CHECKPOINT_BUCKET_S:
-            first_s, _, known = buckets[-1]
-            buckets[-1] = (first_s, at_s, known + amount)
+            first_s, _, total = buckets[-1]
+            buckets[-1] = (first_s, at_s, total + amount)
         else:
             buckets.append((at_s, at_s, amount))
     return [(last_s, amount) for _, last_s, amount in buckets]
 
 
-def _decoded(
+def _decode(
     entries: Iterable[list[Any]], row_at_s: float, oldest_s: float
 ) -> Iterable[tuple[int, TimedAmounts]]:
     for number, *pairs in entries:
--- a/mountstand/tenants/tenant.py
+++ b/mountstand/tenants/tenant.py
@@ -1,4 +1,4 @@
-"""Tenants and the keys that their callers present."""
+"""Tenants, and lookup of tenants by name and by API key."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from dataclasses import dataclass, field
 
 FINGERPRINT_BYTES = 4
-"""Enough to tell the few keys of a tenant apart in a line of a log, too few to guess a key from."""
+"""Long enough to tell a tenant's keys apart in logs, too short to recover a key from."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant of the fleet.
+    """A tenant, with its API keys, priority and rate limit.
 
-    ``requests_per_s`` requests a second are allowed over all daemons, with ``burst`` on top; a rate
-    of 0 is no limit. ``priority`` goes before that of a route, 0 being the most urgent; ``None``
-    leaves it to the route. Keys are secrets: they are compared, never printed.
+    ``requests_per_s`` and ``burst`` apply to all daemons together; a rate of 0 means no limit.
+    ``priority`` overrides the priority of the route, 0 being the most urgent; with ``None``, the
+    route's priority applies. Keys are secrets and must not be printed or logged.
     """
 
     name: str
@@ -26,51 +26,51 @@
     requests_per_s: float = 0.0
     burst: float = 0.0
     regions: frozenset[str] | None = None
-    """Where its requests may be served; ``None`` is everywhere."""
+    """Regions in which its requests may be served; ``None`` means any region."""
 
     @property
     def number(self) -> int:
-        """The number that stands for the tenant among daemons."""
+        """The tenant's identifier in messages between daemons and in stored usage."""
         return zlib.crc32(self.name.encode())
 
     @property
     def weight(self) -> float | None:
-        """The weight of its share where a service is short of room: what it may send a second.
+        """Weight in the fair sharing of a saturated service: the tenant's rate limit.
 
-        ``None`` where it has no limit; it counts as the others do on average.
+        ``None`` if the tenant has no rate limit; it then gets the average weight of the others.
         """
         return self.requests_per_s or None
 
     def effective_priority(self, route_priority: int) -> int:
-        """Return the priority of this tenant's requests on a route."""
+        """Return the priority of this tenant's requests on a route of ``route_priority``."""
         return route_priority if self.priority is None else self.priority
 
 
 class TenantIndex:
-    """The tenants of one version of the configuration, by name and by key."""
+    """The tenants in one version of the configuration, by name and by key."""
 
-    __slots__ = ("_by_key", "has_region_restricted_tenants", "by_name")
+    __slots__ = ("_by_key", "by_name", "has_region_restricted_tenants")
 
     def __init__(self, tenants: Iterable[Tenant] = ()) -> None:
         self.by_name = {tenant.name: tenant for tenant in tenants}
         self.has_region_restricted_tenants = any(
             tenant.regions is not None for tenant in self.by_name.values()
         )
-        """Whether requests of some tenants may be served in some regions alone."""
+        """Whether at least one tenant is restricted to certain regions."""
 
         self._by_key = {key: tenant for tenant in self.by_name.values() for key in tenant.keys}
 
     def __bool__(self) -> bool:
-        """Whether callers need keys at all."""
+        """Whether any tenants are configured, so that callers need keys."""
         return bool(self.by_name)
 
     def find_by_key(self, key: str | None) -> Tenant | None:
-        """Return the tenant that holds ``key``, or ``None`` where nobody does."""
+        """Return the tenant that holds ``key``, or ``None`` if no tenant does."""
         return self._by_key.get(key) if key else None
 
 
 def fingerprint(key: str | None) -> str:
-    """Return what may stand in a log for a key; an empty text where there is none."""
+    """Return a short hash that identifies ``key`` in logs, or an empty string without a key."""
     if not key:
         return ""
     return hashlib.blake2b(key.encode(), digest_size=FINGERPRINT_BYTES).hexdigest()
