--- a/mountstand/jobs/acceptance.py
+++ b/mountstand/jobs/acceptance.py
@@ -36,11 +36,11 @@
     REFUSED = "refused"
     OVER_QUOTA = "over quota"
     ID_TAKEN = "id taken"
-    UNCLEAR = "unclear"
+    OUTCOME_UNKNOWN = "unclear"
 
 
 @dataclass(frozen=True)
-class Stored:
+class StoredJob:
     """A job that is durable; ``begin`` is ``None`` where it was there before."""
 
     begin: tuple[JobHead, int] | None
@@ -63,11 +63,11 @@
         self._submission = submission
         self._head = head
         self._copies = copies
-        self._pending: set[asyncio.Task[Stored]] = set()
+        self._pending: set[asyncio.Task[StoredJob]] = set()
         self._unclear = False
 
     async def run(
-        self, target_latency_s: float, deadline_s: float, on_stored: Callable[[Stored], None]
+        self, target_latency_s: float, deadline_s: float, on_stored: Callable[[StoredJob], None]
     ) -> SubmitOutcome:
         """Try until the job is stored, surely is not, or ``deadline_s`` has come."""
         loop = asyncio.get_running_loop()
@@ -83,7 +83,7 @@
             if not self._pending and not self._unclear and loop.time() >= refuse_at_s:
                 return SubmitOutcome.REFUSED
             if loop.time() >= deadline_s:
-                return SubmitOutcome.UNCLEAR
+                return SubmitOutcome.OUTCOME_UNKNOWN
             if with_objects:
                 self._start(self._write_rows())
             for number in range(self._copies):
@@ -92,12 +92,12 @@
             wait_s = AGAIN_AFTER_S
             await asyncio.sleep(PAUSE_S)
 
-    def _start(self, work: Coroutine[None, None, Stored]) -> None:
+    def _start(self, work: Coroutine[None, None, StoredJob]) -> None:
         task = asyncio.create_task(work)
         task.add_done_callback(note_outcome)
         self._pending.add(task)
 
-    async def _wait(self, wait_s: float) -> Stored | None:
+    async def _wait(self, wait_s: float) -> StoredJob | None:
         """Wait for a try that succeeds, until all have failed or ``wait_s`` is over."""
         loop = asyncio.get_running_loop()
         until_s = loop.time() + wait_s
@@ -118,21 +118,21 @@
                     raise problem
         return None
 
-    async def _write_rows(self) -> Stored:
+    async def _write_rows(self) -> StoredJob:
         try:
             version = await self._repository.submit(self._submission, self._head)
         except Conflict:
-            return Stored(None)
-        return Stored((self._head, version))
+            return StoredJob(None)
+        return StoredJob((self._head, version))
 
-    async def _write_object(self, number: int) -> Stored:
+    async def _write_object(self, number: int) -> StoredJob:
         name = await self._repository.submit_as_object(
             self._submission, number, self._head.accepted_ms
         )
-        return Stored((replace(self._head, object_name=name), ABSENT))
+        return StoredJob((replace(self._head, object_name=name), ABSENT))
 
 
-def note_outcome(task: asyncio.Task[Stored]) -> None:
+def note_outcome(task: asyncio.Task[StoredJob]) -> None:
     """Take note of a try that ended after its caller had an answer; it is the same job."""
     if not task.cancelled():
         task.exception()
--- a/mountstand/jobs/item_execution.py
+++ b/mountstand/jobs/item_execution.py
@@ -85,7 +85,7 @@
     configuration: Callable[[], Configuration | None]
     store_age_s: Callable[[], float]
     store_now_ms: Callable[[], int]
-    contact_limit_s: Callable[[], float]
+    max_store_age_s: Callable[[], float]
 
 
 class ItemExecutor:
--- a/mountstand/jobs/owners.py
+++ b/mountstand/jobs/owners.py
@@ -15,7 +15,7 @@
 class Owners:
     """Who may own jobs, as this daemon believes.
 
-    ``is_in`` returns whether a daemon is in one of some regions.
+    ``is_in_regions`` returns whether a daemon is in one of some regions.
     """
 
     def __init__(
@@ -24,13 +24,13 @@
         live_tokens: Callable[[], dict[str, str]],
         own_name: str,
         serving: Callable[[], frozenset[str]] = frozenset,
-        is_in: Callable[[str, Regions], bool] = lambda name, regions: True,
+        is_in_regions: Callable[[str, Regions], bool] = lambda name, regions: True,
     ) -> None:
         self.own_token = own_token
         self._live_tokens = live_tokens
         self._own_name = own_name
         self._serving = serving
-        self._is_in = is_in
+        self._is_in_regions = is_in_regions
 
     def is_live(self, token: str) -> bool:
         """Return whether the process named ``token`` is believed to run."""
@@ -38,7 +38,7 @@
 
     def may_own(self, regions: Regions | None) -> bool:
         """Return whether this daemon may own jobs that are served in ``regions`` alone."""
-        return regions is None or self._is_in(self._own_name, regions)
+        return regions is None or self._is_in_regions(self._own_name, regions)
 
     def rank(self, job_id: str, regions: Regions | None = ANYWHERE) -> int:
         """Return how many live daemons come before this one for a job, of those in ``regions``.
@@ -48,7 +48,7 @@
         """
         names = set(self._live_tokens()) | {self._own_name}
         if regions is not None:
-            names = {name for name in names if self._is_in(name, regions)}
+            names = {name for name in names if self._is_in_regions(name, regions)}
         serving = names & self._serving()
         if self._own_name in serving:
             return self._rank_among(serving, job_id)
--- a/mountstand/jobs/reading.py
+++ b/mountstand/jobs/reading.py
@@ -141,7 +141,7 @@
         head = self._known(job_id)
         if head is None or not may_see(reader, head):
             return None
-        results = self._cache.run_from(job_id, after, max_bytes)
+        results = self._cache.contiguous_from(job_id, after, max_bytes)
         if not results:
             return None
         return JobPage(head.total, after + len(results), results)
--- a/mountstand/jobs/result_cache.py
+++ b/mountstand/jobs/result_cache.py
@@ -25,7 +25,7 @@
             _, dropped = self._results.popitem(last=False)
             self._bytes -= len(dropped.text)
 
-    def run_from(self, job_id: str, position: int, max_bytes: int) -> list[ItemResult]:
+    def contiguous_from(self, job_id: str, position: int, max_bytes: int) -> list[ItemResult]:
         """Return kept results from ``position`` on without a gap, up to ``max_bytes``."""
         found: list[ItemResult] = []
         size = 0
--- a/mountstand/jobs/runner.py
+++ b/mountstand/jobs/runner.py
@@ -64,7 +64,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._waiting_tasks: set[asyncio.Task[None]] = set()
         self._draining = False
-        self._over = False
+        self._stopped = False
 
     @property
     def items(self) -> tuple[JobItem, ...]:
@@ -81,7 +81,7 @@
         try:
             await self._list_results()
         finally:
-            self._over = True
+            self._stopped = True
             saving.cancel()
             for task in self._tasks:
                 task.cancel()
@@ -95,7 +95,7 @@
         if version <= self._version:
             return
         if head.ended or head.owner != self.head.owner:
-            self._over = True
+            self._stopped = True
             self._changed.set()
 
     def drain(self) -> None:
@@ -112,7 +112,7 @@
 
     async def _list_results(self) -> None:
         pause_s = RETRY_FIRST_S
-        while not self._over and self.head.open:
+        while not self._stopped and self.head.open:
             if not self._finished and self._version != ABSENT and not self._draining:
                 self._changed.clear()
                 await self._changed.wait()
@@ -173,14 +173,14 @@
             await asyncio.sleep(RETRY_FIRST_S)
             return
         if found is None:
-            self._over = self._version != ABSENT
+            self._stopped = self._version != ABSENT
             return
         head, version = found
         if version == self._version:
             return
         if head.owner != self.head.owner or head.ended:
             self._log("job_lost", owner=head.owner, ended=head.ended, version=version)
-            self._over = True
+            self._stopped = True
             return
         self._version = version
         self._note_listed(head)
@@ -206,7 +206,7 @@
 
     async def _save_regularly(self) -> None:
         """Keep what items have, so that a crash costs little."""
-        while not self._over:
+        while not self._stopped:
             await asyncio.sleep(SAVE_S * random.uniform(0.8, 1.2))
             try:
                 await self._save()
@@ -233,7 +233,7 @@
     # Items
 
     async def _run_item(self, progress: ItemProgress) -> None:
-        while not self._over:
+        while not self._stopped:
             result = await self._try_item(progress)
             if result is not None:
                 self._context.metrics.batch_item_ended(result.state.value)
@@ -311,7 +311,7 @@
 
     def _surely_open(self) -> bool:
         """Return whether an end of the job would have been seen."""
-        return self._context.store_age_s() <= self._context.contact_limit_s()
+        return self._context.store_age_s() <= self._context.max_store_age_s()
 
     def _urgency(self, route: Route, service: str, progress: ItemProgress) -> Urgency:
         age_s = (self._context.store_now_ms() - self.head.accepted_ms) / 1000
--- a/mountstand/jobs/service.py
+++ b/mountstand/jobs/service.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Coroutine, Iterable
 from dataclasses import replace
 
-from mountstand.jobs.acceptance import JobAcceptance, Stored, SubmitOutcome
+from mountstand.jobs.acceptance import JobAcceptance, StoredJob, SubmitOutcome
 from mountstand.jobs.item_execution import RunnerContext
 from mountstand.jobs.model import JobHead, JobItem, JobSubmission, SavedProgress, decode_head
 from mountstand.jobs.owners import Owners
@@ -88,7 +88,7 @@
             self._context.log.event(
                 "quota_unsure", job=submission.job_id, cause=type(problem).__name__
             )
-            return SubmitOutcome.UNCLEAR
+            return SubmitOutcome.OUTCOME_UNKNOWN
         finally:
             self._quota.release(submission.job_id)
 
@@ -104,7 +104,7 @@
     ) -> SubmitOutcome:
         was_there = False
 
-        def begin(stored: Stored) -> None:
+        def begin(stored: StoredJob) -> None:
             nonlocal was_there
             was_there = stored.begin is None
             if stored.begin is not None:
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -290,7 +290,7 @@
             configuration=lambda: self.configuration,
             store_age_s=self.store_age_s,
             store_now_ms=self._store_now_ms,
-            contact_limit_s=lambda: min(self.settings.contact_s, self.settings.cancel_s),
+            max_store_age_s=lambda: min(self.settings.contact_s, self.settings.cancel_s),
         )
         self.owners = owners = Owners(
             self.registry.own.token,
--- a/tests/jobs/test_jobs.py
+++ b/tests/jobs/test_jobs.py
@@ -70,7 +70,7 @@
             configuration=lambda: self.configuration,
             store_age_s=lambda: self.watcher.age_s(asyncio.get_running_loop().time()),
             store_now_ms=self.store_now_ms,
-            contact_limit_s=lambda: 3.0,
+            max_store_age_s=lambda: 3.0,
         )
         owners = Owners(name, lambda: {other: other for other in live}, name)
         self.jobs = JobService(context, owners, parse_items, lambda head: 1000.0)
@@ -349,7 +349,7 @@
             daemon = self.daemon()
             lost = {"commit": "drop", "put_object": "refuse"}
             self.faulty(lambda call: lost.get(call, ""))
-            self.assertEqual(SubmitOutcome.UNCLEAR, await daemon.submit(submission(), 0.5))
+            self.assertEqual(SubmitOutcome.OUTCOME_UNKNOWN, await daemon.submit(submission(), 0.5))
 
         self.play(work, (stream(4),))
 
@@ -386,7 +386,7 @@
             daemon, other = self.daemon("d1"), self.daemon("d2")
             for each in (daemon, other):
                 each.configuration = configuration(bound)
-            other.jobs._owners._is_in = lambda name, regions: name == "d1"
+            other.jobs._owners._is_in_regions = lambda name, regions: name == "d1"
             await daemon.submit(submission())
             await other.watcher.loaded.wait()
             daemon.kill()
@@ -473,7 +473,7 @@
             self.live.discard("d1")
             found = await second.finished(3)
             self.assert_whole(found)
-            await eventually(lambda: runner._over, "the old owner stops")
+            await eventually(lambda: runner._stopped, "the old owner stops")
             self.assertEqual(found, await second.results())
 
         self.play(work, (silence, silence, silence, stream(4)))
