--- a/mountstand/jobs/acceptance.py
+++ b/mountstand/jobs/acceptance.py
@@ -13,7 +13,7 @@
 from enum import Enum
 
 from mountstand.jobs.model import JobHead, JobSubmission
-from mountstand.jobs.repository import ACCEPTED_COPIES, JobRepository
+from mountstand.jobs.repository import JOB_OBJECT_NAME_COUNT, JobRepository
 from mountstand.store.rows import ABSENT, Conflict, OutcomeUnknown, StoreRefused
 
 REFUSE_SHARE = 0.2
@@ -57,7 +57,7 @@
         repository: JobRepository,
         submission: JobSubmission,
         head: JobHead,
-        copies: int = ACCEPTED_COPIES,
+        copies: int = JOB_OBJECT_NAME_COUNT,
     ) -> None:
         self._repository = repository
         self._submission = submission
@@ -126,7 +126,7 @@
         return StoredJob((self._head, version))
 
     async def _write_object(self, number: int) -> StoredJob:
-        name = await self._repository.submit_as_object(
+        name = await self._repository.submit_object(
             self._submission, number, self._head.accepted_ms
         )
         return StoredJob((replace(self._head, object_name=name), ABSENT))
--- a/mountstand/jobs/model.py
+++ b/mountstand/jobs/model.py
@@ -84,7 +84,7 @@
     tenant: str = ""
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Whether items remain to be run."""
         return not self.ended and self.listed < self.total
 
@@ -149,7 +149,7 @@
 
 
 @dataclass(frozen=True)
-class KeptSubmission:
+class StoredSubmission:
     """A submission as an object holds it."""
 
     host: str
@@ -170,11 +170,11 @@
     return orjson.dumps(fields) + b"\n" + submission.document
 
 
-def decode_submission(value: bytes) -> KeptSubmission:
+def decode_submission(value: bytes) -> StoredSubmission:
     """Return the submission that an object holds."""
     line, _, document = value.partition(b"\n")
     fields = orjson.loads(line)
-    return KeptSubmission(
+    return StoredSubmission(
         fields["host"], fields["path"], fields["accepted_ms"], document, fields.get("tenant", "")
     )
 
--- a/mountstand/jobs/quota.py
+++ b/mountstand/jobs/quota.py
@@ -100,7 +100,7 @@
             if pending_scope == scope
         }
         for head in self._heads():
-            if head.open and self._scope_of(head) == scope:
+            if head.is_open and self._scope_of(head) == scope:
                 waiting[head.job_id] = head.waiting_tokens
         return waiting
 
--- a/mountstand/jobs/reading.py
+++ b/mountstand/jobs/reading.py
@@ -16,8 +16,8 @@
 from mountstand.jobs.result_cache import ResultCache
 from mountstand.store.rows import ABSENT
 
-CACHED_RESULT_BYTES = 16 * 1024 * 1024
-CACHED_DOCUMENTS = 8
+MAX_CACHED_RESULT_BYTES = 16 * 1024 * 1024
+MAX_CACHED_DOCUMENTS = 8
 """Bounds of what is kept to spare reads of the store; everything kept is immutable."""
 
 ANY_TENANT = None
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class JobPage:
+class ResultPage:
     """Listed results of a job from one position on."""
 
     total: int
@@ -33,15 +33,15 @@
     results: list[ItemResult]
 
 
-def may_see(reader: str | None, head: JobHead) -> bool:
-    """Return whether callers of the tenant ``reader`` may see a job.
+def is_visible_to_tenant(reader_tenant: str | None, head: JobHead) -> bool:
+    """Return whether callers of the tenant ``reader_tenant`` may see a job.
 
     Jobs that were taken before there were tenants, or from callers without a key, are everybody's.
     """
-    return reader is ANY_TENANT or head.tenant in ("", reader)
+    return reader_tenant is ANY_TENANT or head.tenant in ("", reader_tenant)
 
 
-class JobReads:
+class JobReader:
     """Answers reads of one daemon's callers.
 
     ``known`` returns the newest head of a job that the feed told, ``running`` the items of a job
@@ -60,24 +60,24 @@
         self._known = known
         self._running = running
         self._changed_by_job: dict[str, asyncio.Event] = {}
-        self._cache = ResultCache(CACHED_RESULT_BYTES)
+        self._cache = ResultCache(MAX_CACHED_RESULT_BYTES)
         self._documents: OrderedDict[str, tuple[JobItem, ...]] = OrderedDict()
 
-    def note_change(self, job_id: str) -> None:
+    def notify_change(self, job_id: str) -> None:
         """Wake the readers that wait for a job's results."""
         changed = self._changed_by_job.pop(job_id, None)
         if changed is not None:
             changed.set()
 
     async def page(
-        self, job_id: str, after: int, wait_s: float, max_bytes: int, reader: str | None
-    ) -> JobPage | None:
+        self, job_id: str, after: int, wait_s: float, max_bytes: int, reader_tenant: str | None
+    ) -> ResultPage | None:
         """Return results from position ``after`` on; waits up to ``wait_s`` for the first.
 
-        Returns ``None`` if the store has no such job for ``reader``. Raises ``StoreError`` where
+        Returns ``None`` if the store has no such job for ``reader_tenant``. Raises ``StoreError`` where
         unsure.
         """
-        cached = self._read_cached(job_id, after, max_bytes, reader)
+        cached = self._read_cached(job_id, after, max_bytes, reader_tenant)
         if cached is not None:
             return cached
         loop = asyncio.get_running_loop()
@@ -85,11 +85,11 @@
         changed = self._changed_by_job.setdefault(job_id, asyncio.Event())
         found = await self._repository.load(job_id)
         if found is None:
-            return await self._page_of_accepted(job_id, after, reader)
+            return await self._page_of_accepted(job_id, after, reader_tenant)
         head = found[0]
-        if not may_see(reader, head):
+        if not is_visible_to_tenant(reader_tenant, head):
             return None
-        if head.listed <= after and head.open and wait_s > 0:
+        if head.listed <= after and head.is_open and wait_s > 0:
             try:
                 async with asyncio.timeout_at(deadline_s):
                     await changed.wait()
@@ -101,17 +101,17 @@
             head = found[0]
         return await self._page(head, after, max_bytes)
 
-    async def item_body(self, job_id: str, item_id: str, reader: str | None) -> bytes | None:
-        """Return the body of an item, or ``None`` where the store has none for ``reader``."""
-        items = await self._items_of(job_id, reader)
+    async def item_body(self, job_id: str, item_id: str, reader_tenant: str | None) -> bytes | None:
+        """Return the body of an item, or ``None`` where the store has none for ``reader_tenant``."""
+        items = await self._items_of(job_id, reader_tenant)
         return next((item.body for item in items if item.item_id == item_id), None)
 
-    async def load_any(self, job_id: str) -> tuple[JobHead, int] | None:
+    async def load_head_or_object(self, job_id: str) -> tuple[JobHead, int] | None:
         """Return a job's head, also that of a job kept as an object without a head row."""
         found = await self._repository.load(job_id)
         if found is not None:
             return found
-        accepted = await self._repository.load_accepted(job_id)
+        accepted = await self._repository.load_object_submission(job_id)
         if accepted is None:
             return None
         name, kept = accepted
@@ -136,52 +136,56 @@
         return self._parse_document(document) if document is not None else None
 
     def _read_cached(
-        self, job_id: str, after: int, max_bytes: int, reader: str | None
-    ) -> JobPage | None:
+        self, job_id: str, after: int, max_bytes: int, reader_tenant: str | None
+    ) -> ResultPage | None:
         head = self._known(job_id)
-        if head is None or not may_see(reader, head):
+        if head is None or not is_visible_to_tenant(reader_tenant, head):
             return None
         results = self._cache.contiguous_from(job_id, after, max_bytes)
         if not results:
             return None
-        return JobPage(head.total, after + len(results), results)
+        return ResultPage(head.total, after + len(results), results)
 
-    async def _page(self, head: JobHead, after: int, max_bytes: int) -> JobPage:
+    async def _page(self, head: JobHead, after: int, max_bytes: int) -> ResultPage:
         if head.listed <= after:
-            return JobPage(head.total, after, [])
+            return ResultPage(head.total, after, [])
         listed = await self._repository.results(head, after, max_bytes)
         for position, result in listed:
             self._cache.put(head.job_id, position, result)
-        return JobPage(head.total, after + len(listed), [result for _, result in listed])
+        return ResultPage(head.total, after + len(listed), [result for _, result in listed])
 
     async def _page_of_accepted(
-        self, job_id: str, after: int, reader: str | None
-    ) -> JobPage | None:
+        self, job_id: str, after: int, reader_tenant: str | None
+    ) -> ResultPage | None:
         """Return the empty page of a job that has no head row yet."""
         running = self._running(job_id)
         if running is not None:
             head = running[0]
-            return JobPage(head.total, after, []) if may_see(reader, head) else None
-        found = await self.load_any(job_id)
-        if found is None or not may_see(reader, found[0]):
+            return (
+                ResultPage(head.total, after, [])
+                if is_visible_to_tenant(reader_tenant, head)
+                else None
+            )
+        found = await self.load_head_or_object(job_id)
+        if found is None or not is_visible_to_tenant(reader_tenant, found[0]):
             return None
         return await self._page(found[0], after, 1)
 
-    async def _items_of(self, job_id: str, reader: str | None) -> tuple[JobItem, ...]:
+    async def _items_of(self, job_id: str, reader_tenant: str | None) -> tuple[JobItem, ...]:
         running = self._running(job_id)
         if running is not None:
-            return running[1] if may_see(reader, running[0]) else ()
+            return running[1] if is_visible_to_tenant(reader_tenant, running[0]) else ()
         known = self._known(job_id)
         cached = self._documents.get(job_id)
         if cached is not None and known is not None:
-            return cached if may_see(reader, known) else ()
-        found = await self.load_any(job_id)
-        if found is None or not may_see(reader, found[0]):
+            return cached if is_visible_to_tenant(reader_tenant, known) else ()
+        found = await self.load_head_or_object(job_id)
+        if found is None or not is_visible_to_tenant(reader_tenant, found[0]):
             return ()
         items = await self.load_items(found[0])
         if items is None:
             return ()
         self._documents[job_id] = items
-        while len(self._documents) > CACHED_DOCUMENTS:
+        while len(self._documents) > MAX_CACHED_DOCUMENTS:
             self._documents.popitem(last=False)
         return items
--- a/mountstand/jobs/repository.py
+++ b/mountstand/jobs/repository.py
@@ -1,7 +1,7 @@
 """Reads and writes batch jobs in the row store.
 
-A job's rows share one part, so that a transaction can cover them: its head in ``HEADS``, the
-submitted document in ``DOCUMENTS`` and the results in ``RESULTS``, cut to the store's row size. A
+A job's rows share one part, so that a transaction can cover them: its head in ``HEADS_TABLE``, the
+submitted document in ``DOCUMENTS_TABLE`` and the results in ``RESULTS_TABLE``, cut to the store's row size. A
 result is at a position once the head that counts it is committed, never before.
 """
 
@@ -16,8 +16,8 @@
     ItemResult,
     JobHead,
     JobSubmission,
-    KeptSubmission,
     SavedProgress,
+    StoredSubmission,
     decode_head,
     decode_progress,
     decode_result,
@@ -35,36 +35,36 @@
     read_all,
 )
 
-HEADS = "jobs"
-DOCUMENTS = "job_documents"
-RESULTS = "job_results"
-PROGRESS = "job_progress"
+HEADS_TABLE = "jobs"
+DOCUMENTS_TABLE = "job_documents"
+RESULTS_TABLE = "job_results"
+PROGRESS_TABLE = "job_progress"
 
-PARTITIONS = 16
+PARTITION_COUNT = 16
 """Parts that jobs are spread over. A part takes a limited rate of writes; sixteen of them pass
 the rate of the whole store on the deployments known, and a start reads each once."""
 
-MAX_ROWS_PER_WRITE = 45
-MAX_BYTES_PER_WRITE = 600_000
+MAX_WRITE_ROWS = 45
+MAX_WRITE_BYTES = 600_000
 """Bounds of one transaction, below the store's 100 entries and 1 MB in base64. A row written may
 bring the removal of another, and the head is one more."""
 
-ACCEPTED_PREFIX = "accepted/"
-ACCEPTED_COPIES = 3
+JOB_OBJECT_PREFIX = "accepted/"
+JOB_OBJECT_NAME_COUNT = 3
 """Names under which a job may be kept as an object while its part of the rows takes no writes. A
 store that is down in part serves some names; with three, one of them nearly always."""
 
-BASE64_SHARE = 3 / 4
+BASE64_PAYLOAD_RATIO = 3 / 4
 
 
-def partitions() -> list[str]:
+def partition_names() -> list[str]:
     """Return the names of all parts."""
-    return [f"p{number:02d}" for number in range(PARTITIONS)]
+    return [f"p{number:02d}" for number in range(PARTITION_COUNT)]
 
 
-def partition(job_id: str) -> str:
+def partition_of(job_id: str) -> str:
     """Return the part that holds a job's rows."""
-    return f"p{zlib.crc32(job_id.encode()) % PARTITIONS:02d}"
+    return f"p{zlib.crc32(job_id.encode()) % PARTITION_COUNT:02d}"
 
 
 def new_write_id() -> str:
@@ -78,31 +78,31 @@
     def __init__(self, rows: RowStore, objects: ObjectStore, row_bytes: int) -> None:
         self.rows = rows
         self._objects = objects
-        self._piece_bytes = int(row_bytes * BASE64_SHARE)
+        self._piece_bytes = int(row_bytes * BASE64_PAYLOAD_RATIO)
 
     # Reading
 
     async def load(self, job_id: str) -> tuple[JobHead, int] | None:
         """Return a job's head and its version, or ``None`` if the store has no such job."""
-        page = await self.rows.read(HEADS, partition(job_id), job_id, job_id + "\x00", 1)
+        page = await self.rows.read(HEADS_TABLE, partition_of(job_id), job_id, job_id + "\x00", 1)
         if not page.rows or page.rows[0].value is None:
             return None
         row = page.rows[0]
         assert row.value is not None
         return decode_head(job_id, row.value), row.version
 
-    async def load_accepted(self, job_id: str) -> tuple[str, KeptSubmission] | None:
+    async def load_object_submission(self, job_id: str) -> tuple[str, StoredSubmission] | None:
         """Return the submission of a job that is kept as an object, if any, and its name."""
-        for number in range(ACCEPTED_COPIES):
-            name = accepted_name(job_id, number)
+        for number in range(JOB_OBJECT_NAME_COUNT):
+            name = job_object_name(job_id, number)
             value = await self._objects.get_object(name)
             if value is not None:
                 return name, decode_submission(value)
         return None
 
-    async def accepted_jobs(self) -> list[str]:
+    async def list_object_job_ids(self) -> list[str]:
         """Return the ids of jobs that were kept as objects."""
-        names = await self._objects.list_objects(ACCEPTED_PREFIX)
+        names = await self._objects.list_objects(JOB_OBJECT_PREFIX)
         return sorted({name.split("/", 2)[2] for name in names})
 
     async def document(self, head: JobHead) -> bytes | None:
@@ -111,9 +111,9 @@
             value = await self._objects.get_object(head.object_name)
             return decode_submission(value).document if value is not None else None
         first, end = _range_of(head.job_id)
-        page = await read_all(self.rows, DOCUMENTS, partition(head.job_id), first, end)
-        pieces = [row.value for row in page.rows if row.value is not None]
-        return zlib.decompress(b"".join(pieces)) if pieces else None
+        page = await read_all(self.rows, DOCUMENTS_TABLE, partition_of(head.job_id), first, end)
+        chunks = [row.value for row in page.rows if row.value is not None]
+        return zlib.decompress(b"".join(chunks)) if chunks else None
 
     async def results(
         self, head: JobHead, after: int, max_bytes: int
@@ -122,47 +122,45 @@
         job_id = head.job_id
         first = f"{job_id}/{after:06d}/"
         end = f"{job_id}/{head.listed:06d}/"
-        page = await self.rows.read(RESULTS, partition(job_id), first, end)
-        pieces: dict[int, list[bytes]] = {}
+        page = await self.rows.read(RESULTS_TABLE, partition_of(job_id), first, end)
+        chunks: dict[int, list[bytes]] = {}
         for row in page.rows:
             position = int(row.key.key.split("/")[-2])
-            pieces.setdefault(position, []).append(row.value or b"")
-        if page.more and len(pieces) > 1:
-            pieces.popitem()
+            chunks.setdefault(position, []).append(row.value or b"")
+        if page.more and len(chunks) > 1:
+            chunks.popitem()
         elif page.more:
             rest = await read_all(
-                self.rows, RESULTS, partition(job_id), first, f"{job_id}/{after + 1:06d}/"
+                self.rows, RESULTS_TABLE, partition_of(job_id), first, f"{job_id}/{after + 1:06d}/"
             )
-            pieces = {after: [row.value or b"" for row in rest.rows]}
-        return _within(pieces, after, max_bytes)
+            chunks = {after: [row.value or b"" for row in rest.rows]}
+        return _within(chunks, after, max_bytes)
 
     # Writing
 
     async def submit(self, submission: JobSubmission, head: JobHead) -> int:
         """Store a new job; returns its version. Raises ``Conflict`` if there is one already."""
         packed = zlib.compress(submission.document, 1)
-        part = partition(head.job_id)
+        part = partition_of(head.job_id)
         transaction = Transaction(conditions=[(self._head_key(head.job_id), ABSENT)])
-        if len(packed) > MAX_BYTES_PER_WRITE:
+        if len(packed) > MAX_WRITE_BYTES:
             name = f"{head.job_id}-{head.write_id}"
             value = encode_submission(submission, head.accepted_ms)
             await self._objects.put_object(name, value)
             head = replace(head, object_name=name)
         else:
-            for number, piece in enumerate(self._pieces(packed)):
-                key = RowKey(DOCUMENTS, part, f"{head.job_id}/{number:04d}")
-                transaction.puts.append((key, piece))
+            for number, chunk in enumerate(self._pieces(packed)):
+                key = RowKey(DOCUMENTS_TABLE, part, f"{head.job_id}/{number:04d}")
+                transaction.puts.append((key, chunk))
         transaction.puts.append((self._head_key(head.job_id), head.encode()))
         return await self.rows.commit(transaction)
 
-    async def submit_as_object(
-        self, submission: JobSubmission, number: int, accepted_ms: int
-    ) -> str:
+    async def submit_object(self, submission: JobSubmission, number: int, accepted_ms: int) -> str:
         """Keep a new job as an object under one of its names; returns the name.
 
         The object alone makes the job accepted; its head row follows with the first change of it.
         """
-        name = accepted_name(submission.job_id, number)
+        name = job_object_name(submission.job_id, number)
         await self._objects.put_object(name, encode_submission(submission, accepted_ms))
         return name
 
@@ -176,21 +174,21 @@
         for item in progress:
             value = encode_progress(item)
             size += len(value)
-            if len(value) > self._piece_bytes or size > MAX_BYTES_PER_WRITE:
+            if len(value) > self._piece_bytes or size > MAX_WRITE_BYTES:
                 continue
             transaction.puts.append((self._progress_key(head.job_id, item.index), value))
-        for start in range(0, len(transaction.puts), MAX_ROWS_PER_WRITE):
-            puts = transaction.puts[start : start + MAX_ROWS_PER_WRITE]
+        for start in range(0, len(transaction.puts), MAX_WRITE_ROWS):
+            puts = transaction.puts[start : start + MAX_WRITE_ROWS]
             await self.rows.commit(Transaction(conditions=[condition], puts=puts))
 
     async def progress(self, head: JobHead) -> list[SavedProgress]:
         """Return what is kept of items that have not ended."""
         first, end = _range_of(head.job_id)
-        page = await read_all(self.rows, PROGRESS, partition(head.job_id), first, end)
+        page = await read_all(self.rows, PROGRESS_TABLE, partition_of(head.job_id), first, end)
         found = [decode_progress(row.value) for row in page.rows if row.value is not None]
         return [item for item in found if not head.is_listed(item.index)]
 
-    async def change_head(
+    async def update_head(
         self,
         head: JobHead,
         version: int,
@@ -201,67 +199,67 @@
 
         ``saved`` are items whose progress is kept; that of those listed is dropped.
         """
-        part = partition(head.job_id)
+        part = partition_of(head.job_id)
         transaction = Transaction(conditions=[(self._head_key(head.job_id), version)])
         position = head.listed - len(results or [])
         for result in results or []:
-            for number, piece in enumerate(self._pieces(encode_result(result))):
-                key = RowKey(RESULTS, part, f"{head.job_id}/{position:06d}/{number:04d}")
-                transaction.puts.append((key, piece))
+            for number, chunk in enumerate(self._pieces(encode_result(result))):
+                key = RowKey(RESULTS_TABLE, part, f"{head.job_id}/{position:06d}/{number:04d}")
+                transaction.puts.append((key, chunk))
             position += 1
             if saved and result.index in saved:
                 transaction.removals.append(self._progress_key(head.job_id, result.index))
         transaction.puts.append((self._head_key(head.job_id), head.encode()))
         return await self.rows.commit(transaction)
 
-    async def drop_document(self, head: JobHead) -> None:
+    async def delete_document(self, head: JobHead) -> None:
         """Drop the document of a job that needs it no longer."""
         if not head.object_name:
-            await self._drop_range(DOCUMENTS, head.job_id)
+            await self._drop_range(DOCUMENTS_TABLE, head.job_id)
             return
         await self._objects.drop_object(head.object_name)
-        for number in range(ACCEPTED_COPIES):
-            await self._objects.drop_object(accepted_name(head.job_id, number))
+        for number in range(JOB_OBJECT_NAME_COUNT):
+            await self._objects.drop_object(job_object_name(head.job_id, number))
 
-    async def drop(self, head: JobHead, version: int) -> None:
+    async def delete(self, head: JobHead, version: int) -> None:
         """Drop everything of a job; its head goes last."""
-        await self.drop_document(head)
-        await self._drop_range(RESULTS, head.job_id)
-        await self._drop_range(PROGRESS, head.job_id)
+        await self.delete_document(head)
+        await self._drop_range(RESULTS_TABLE, head.job_id)
+        await self._drop_range(PROGRESS_TABLE, head.job_id)
         key = self._head_key(head.job_id)
         await self.rows.commit(Transaction(conditions=[(key, version)], removals=[key]))
 
-    def fits(self, results: list[ItemResult], result: ItemResult) -> bool:
+    def fits_in_one_write(self, results: list[ItemResult], result: ItemResult) -> bool:
         """Return whether ``result`` may join ``results`` in one write."""
         sizes = [len(encode_result(each)) for each in [*results, result]]
         rows = sum(size // self._piece_bytes + 1 for size in sizes)
-        return not results or (rows <= MAX_ROWS_PER_WRITE and sum(sizes) <= MAX_BYTES_PER_WRITE)
+        return not results or (rows <= MAX_WRITE_ROWS and sum(sizes) <= MAX_WRITE_BYTES)
 
     def _pieces(self, value: bytes) -> list[bytes]:
         size = self._piece_bytes
         return [value[start : start + size] for start in range(0, max(1, len(value)), size)]
 
     def _progress_key(self, job_id: str, index: int) -> RowKey:
-        return RowKey(PROGRESS, partition(job_id), f"{job_id}/{index:06d}")
+        return RowKey(PROGRESS_TABLE, partition_of(job_id), f"{job_id}/{index:06d}")
 
     def _head_key(self, job_id: str) -> RowKey:
-        return RowKey(HEADS, partition(job_id), job_id)
+        return RowKey(HEADS_TABLE, partition_of(job_id), job_id)
 
     async def _drop_range(self, table: str, job_id: str) -> None:
         first, end = _range_of(job_id)
-        page = await read_all(self.rows, table, partition(job_id), first, end)
+        page = await read_all(self.rows, table, partition_of(job_id), first, end)
         keys = [row.key for row in page.rows]
-        for start in range(0, len(keys), MAX_ROWS_PER_WRITE):
-            await self.rows.commit(Transaction(removals=keys[start : start + MAX_ROWS_PER_WRITE]))
+        for start in range(0, len(keys), MAX_WRITE_ROWS):
+            await self.rows.commit(Transaction(removals=keys[start : start + MAX_WRITE_ROWS]))
 
 
-def accepted_name(job_id: str, number: int) -> str:
+def job_object_name(job_id: str, number: int) -> str:
     """Return one of the names under which a job may be kept as an object.
 
     The names differ from their first letters on, since a store may place objects by those.
     """
     spread = hashlib.blake2b(f"{job_id}/{number}".encode(), digest_size=4).hexdigest()
-    return f"{ACCEPTED_PREFIX}{spread}/{job_id}"
+    return f"{JOB_OBJECT_PREFIX}{spread}/{job_id}"
 
 
 def _range_of(job_id: str) -> tuple[str, str]:
@@ -270,12 +268,12 @@
 
 
 def _within(
-    pieces: dict[int, list[bytes]], after: int, max_bytes: int
+    chunks: dict[int, list[bytes]], after: int, max_bytes: int
 ) -> list[tuple[int, ItemResult]]:
     found: list[tuple[int, ItemResult]] = []
     size = 0
-    for position in sorted(pieces):
-        value = b"".join(pieces[position])
+    for position in sorted(chunks):
+        value = b"".join(chunks[position])
         size += len(value)
         if found and size > max_bytes:
             break
--- a/mountstand/jobs/runner.py
+++ b/mountstand/jobs/runner.py
@@ -112,7 +112,7 @@
 
     async def _list_results(self) -> None:
         pause_s = RETRY_FIRST_S
-        while not self._stopped and self.head.open:
+        while not self._stopped and self.head.is_open:
             if not self._finished and self._version != ABSENT and not self._draining:
                 self._changed.clear()
                 await self._changed.wait()
@@ -135,14 +135,14 @@
         self._drop_listed()
         results: list[ItemResult] = []
         for result in self._finished:
-            if not self._context.repository.fits(results, result):
+            if not self._context.repository.fits_in_one_write(results, result):
                 break
             results.append(result)
         write_id = new_write_id()
         tokens = sum(self._items[result.index].tokens for result in results)
         head = self.head.with_results(results, write_id, tokens)
         self._listing[write_id] = results
-        self._version = await self._context.repository.change_head(
+        self._version = await self._context.repository.update_head(
             head, self._version, results, self._saved
         )
         self._note_listed(head)
@@ -189,7 +189,7 @@
         """Give the job up with what its items have, so that another daemon goes on at once."""
         await self._save()
         head = replace(self.head, owner="", write_id=new_write_id())
-        await self._context.repository.change_head(head, self._version)
+        await self._context.repository.update_head(head, self._version)
         self._log("job_released", listed=head.listed, total=head.total)
 
     # Progress
--- a/mountstand/jobs/service.py
+++ b/mountstand/jobs/service.py
@@ -15,24 +15,24 @@
 from mountstand.jobs.model import JobHead, JobItem, JobSubmission, SavedProgress, decode_head
 from mountstand.jobs.owners import Owners
 from mountstand.jobs.quota import TokenQuota
-from mountstand.jobs.reading import ANY_TENANT, JobPage, JobReads, may_see
-from mountstand.jobs.repository import ACCEPTED_COPIES, JobRepository, new_write_id
+from mountstand.jobs.reading import ANY_TENANT, JobReader, ResultPage, is_visible_to_tenant
+from mountstand.jobs.repository import JOB_OBJECT_NAME_COUNT, JobRepository, new_write_id
 from mountstand.jobs.runner import JobRunner
 from mountstand.serving.configuration import Route
 from mountstand.store.rows import Conflict, StoreError, StoreRefused
 from mountstand.store.watch import TableChange
 
-SCAN_S = 0.5
+ORPHAN_SCAN_INTERVAL_S = 0.5
 """How often a daemon looks for jobs without an owner."""
 
-RANK_DELAY_S = 1.0
+ADOPTION_DELAY_PER_RANK_S = 1.0
 """A daemon waits so much longer per better-ranked daemon before it adopts a job."""
 
-OBJECT_SCAN_S = 3.0
-OBJECT_SCAN_KEY = "object scan"
+OBJECT_SCAN_INTERVAL_S = 3.0
+OBJECT_SCAN_RANK_KEY = "object scan"
 """How often the daemon ranked first for the key looks for jobs that are kept as objects only."""
 
-RETRY_S = 0.05
+DRAIN_POLL_INTERVAL_S = 0.05
 """How often a planned stop looks whether the last job is handed on."""
 
 
@@ -44,12 +44,12 @@
         context: RunnerContext,
         owners: Owners,
         parse_document: Callable[[bytes], tuple[JobItem, ...]],
-        keep_s: Callable[[JobHead], float],
+        retention_s: Callable[[JobHead], float],
     ) -> None:
         self._context = context
         self._repository: JobRepository = context.repository
         self._owners = owners
-        self._keep_s = keep_s
+        self._keep_s = retention_s
         self._heads: dict[str, tuple[JobHead, int]] = {}
         self._runners: dict[str, JobRunner] = {}
         self._tasks: set[asyncio.Task[None]] = set()
@@ -58,7 +58,7 @@
         self._draining = False
         self._next_object_scan_s = 0.0
         self._without_head: set[str] = set()
-        self._reads = JobReads(self._repository, parse_document, self._known, self._running)
+        self._reads = JobReader(self._repository, parse_document, self._known, self._running)
         self._quota = TokenQuota(
             context.repository.rows,
             lambda: [head for head, _ in self._heads.values()],
@@ -84,9 +84,9 @@
                 if not fits:
                     return await self._refuse_unless_known(submission)
             return await self._accept(submission, head, route, deadline_s)
-        except (StoreError, TimeoutError) as problem:
+        except (StoreError, TimeoutError) as error:
             self._context.log.event(
-                "quota_unsure", job=submission.job_id, cause=type(problem).__name__
+                "quota_unsure", job=submission.job_id, cause=type(error).__name__
             )
             return SubmitOutcome.OUTCOME_UNKNOWN
         finally:
@@ -94,7 +94,7 @@
 
     async def _refuse_unless_known(self, submission: JobSubmission) -> SubmitOutcome:
         """Refuse a job that does not fit, unless another daemon took it: it is sent again then."""
-        found = await self._reads.load_any(submission.job_id)
+        found = await self._reads.load_head_or_object(submission.job_id)
         return (
             SubmitOutcome.OVER_QUOTA if found is None else _outcome_of_known(submission, found[0])
         )
@@ -110,11 +110,11 @@
             if stored.begin is not None:
                 self._begin(*stored.begin, submission.items)
 
-        copies = 0 if self._is_bound(route, submission.tenant) else ACCEPTED_COPIES
+        copies = 0 if self._is_bound(route, submission.tenant) else JOB_OBJECT_NAME_COUNT
         acceptance = JobAcceptance(self._repository, submission, head, copies)
         outcome = await acceptance.run(route.target_latency_s, deadline_s, begin)
         if was_there and submission.tenant:
-            found = await self._reads.load_any(submission.job_id)
+            found = await self._reads.load_head_or_object(submission.job_id)
             return outcome if found is None else _outcome_of_known(submission, found[0])
         return outcome
 
@@ -124,28 +124,28 @@
         after: int,
         wait_s: float,
         max_bytes: int,
-        reader: str | None = ANY_TENANT,
-    ) -> JobPage | None:
-        """Return a page of results; see :meth:`JobReads.page`."""
-        return await self._reads.page(job_id, after, wait_s, max_bytes, reader)
+        reader_tenant: str | None = ANY_TENANT,
+    ) -> ResultPage | None:
+        """Return a page of results; see :meth:`JobReader.page`."""
+        return await self._reads.page(job_id, after, wait_s, max_bytes, reader_tenant)
 
     async def item_body(
-        self, job_id: str, item_id: str, reader: str | None = ANY_TENANT
+        self, job_id: str, item_id: str, reader_tenant: str | None = ANY_TENANT
     ) -> bytes | None:
-        """Return the body of an item; see :meth:`JobReads.item_body`."""
-        return await self._reads.item_body(job_id, item_id, reader)
+        """Return the body of an item; see :meth:`JobReader.item_body`."""
+        return await self._reads.item_body(job_id, item_id, reader_tenant)
 
-    async def end(self, job_id: str, reader: str | None = ANY_TENANT) -> bool:
-        """End a job; returns whether ``reader`` has one. Raises ``StoreError``."""
+    async def cancel(self, job_id: str, reader_tenant: str | None = ANY_TENANT) -> bool:
+        """End a job; returns whether ``reader_tenant`` has one. Raises ``StoreError``."""
         while True:
-            found = await self._reads.load_any(job_id)
-            if found is None or not may_see(reader, found[0]):
+            found = await self._reads.load_head_or_object(job_id)
+            if found is None or not is_visible_to_tenant(reader_tenant, found[0]):
                 return False
             head, version = found
             if not head.ended:
                 ended = replace(head, ended=True, write_id=new_write_id())
                 try:
-                    version = await self._repository.change_head(ended, version)
+                    version = await self._repository.update_head(ended, version)
                 except Conflict:
                     continue
                 self._apply_head(ended, version)
@@ -172,8 +172,8 @@
         runner = self._runners.get(head.job_id)
         if runner is not None:
             runner.handle_head(head, version)
-        self._reads.note_change(head.job_id)
-        if head.open and not head.owner:
+        self._reads.notify_change(head.job_id)
+        if head.is_open and not head.owner:
             self._consider(head, version)
 
     def _known(self, job_id: str) -> JobHead | None:
@@ -193,9 +193,9 @@
     async def run(self) -> None:
         """Adopt jobs whose owner is gone, until cancelled."""
         while True:
-            await asyncio.sleep(SCAN_S)
+            await asyncio.sleep(ORPHAN_SCAN_INTERVAL_S)
             for head, version in list(self._heads.values()):
-                if head.open:
+                if head.is_open:
                     self._consider(head, version)
                 else:
                     self._orphan_since_s.pop(head.job_id, None)
@@ -212,19 +212,19 @@
         now_s = asyncio.get_running_loop().time()
         if self._draining or now_s < self._next_object_scan_s:
             return
-        self._next_object_scan_s = now_s + OBJECT_SCAN_S
-        if self._owners.rank(OBJECT_SCAN_KEY):
+        self._next_object_scan_s = now_s + OBJECT_SCAN_INTERVAL_S
+        if self._owners.rank(OBJECT_SCAN_RANK_KEY):
             return
         try:
             without_head = [
                 job_id
-                for job_id in await self._repository.accepted_jobs()
+                for job_id in await self._repository.list_object_job_ids()
                 if job_id not in self._heads and await self._repository.load(job_id) is None
             ]
-            seen_twice = [job_id for job_id in without_head if job_id in self._without_head]
+            confirmed_job_ids = [job_id for job_id in without_head if job_id in self._without_head]
             self._without_head = set(without_head)
-            for job_id in seen_twice:
-                found = await self._reads.load_any(job_id)
+            for job_id in confirmed_job_ids:
+                found = await self._reads.load_head_or_object(job_id)
                 if found is not None:
                     await self._adopt(*found)
         except StoreError:
@@ -244,8 +244,11 @@
         if not self._owners.may_own(regions):
             return
         now_s = asyncio.get_running_loop().time()
-        since_s = self._orphan_since_s.setdefault(job_id, now_s)
-        if now_s - since_s < self._owners.rank(job_id, regions) * RANK_DELAY_S:
+        orphaned_since_s = self._orphan_since_s.setdefault(job_id, now_s)
+        if (
+            now_s - orphaned_since_s
+            < self._owners.rank(job_id, regions) * ADOPTION_DELAY_PER_RANK_S
+        ):
             return
         self._adopting.add(job_id)
         self._spawn(self._adopt(head, version))
@@ -256,11 +259,11 @@
             items = await self._reads.load_items(head)
             if items is None:
                 return
-            version = await self._repository.change_head(adopted, version)
+            version = await self._repository.update_head(adopted, version)
             saved = await self._repository.progress(adopted)
-        except StoreError as problem:
+        except StoreError as error:
             self._context.log.event(
-                "adoption_failed", job=head.job_id, version=version, cause=type(problem).__name__
+                "adoption_failed", job=head.job_id, version=version, cause=type(error).__name__
             )
             return
         finally:
@@ -290,7 +293,7 @@
         known = self._heads.get(head.job_id)
         if known is not None and known[1] > version:
             head, version = known
-            if not head.open or head.owner != self._owners.own_token:
+            if not head.is_open or head.owner != self._owners.own_token:
                 return
         self._heads[head.job_id] = (head, version)
         runner = JobRunner(self._context, head, version, items, saved)
@@ -312,7 +315,7 @@
         for runner in list(self._runners.values()):
             runner.drain()
         while self._runners:
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
 
     # Small parts
 
@@ -343,7 +346,7 @@
             age_s = (self._context.store_now_ms() - head.accepted_ms) / 1000
             if age_s < self._keep_s(head) or self._owners.rank(head.job_id):
                 return
-            await self._repository.drop(head, version)
+            await self._repository.delete(head, version)
             self._context.log.event(
                 "job_dropped", job=head.job_id, age_s=round(age_s, 1), version=version
             )
@@ -358,6 +361,6 @@
 
 def _outcome_of_known(submission: JobSubmission, known: JobHead) -> SubmitOutcome:
     """Return the answer to a job that is there already: sent again, or another tenant's."""
-    if may_see(submission.tenant or ANY_TENANT, known):
+    if is_visible_to_tenant(submission.tenant or ANY_TENANT, known):
         return SubmitOutcome.ACCEPTED
     return SubmitOutcome.ID_TAKEN
--- a/mountstand/platform/ingress.py
+++ b/mountstand/platform/ingress.py
@@ -13,7 +13,7 @@
 from mountstand.errors import MountstandError
 from mountstand.jobs.acceptance import SubmitOutcome
 from mountstand.jobs.model import ItemResult, ItemState, JobItem, JobSubmission
-from mountstand.jobs.reading import ANY_TENANT, JobPage
+from mountstand.jobs.reading import ANY_TENANT, ResultPage
 from mountstand.platform import names
 from mountstand.platform.worker_protocol import parse_prompt
 from mountstand.serving.configuration import Configuration, RequestKind, Route
@@ -254,7 +254,7 @@
         deadline_s = asyncio.get_running_loop().time() + DELETE_TIMEOUT_S
         while True:
             try:
-                found = await self._node.jobs.end(job_id, reader)
+                found = await self._node.jobs.cancel(job_id, reader)
             except StoreError:
                 if asyncio.get_running_loop().time() > deadline_s:
                     raise
@@ -315,7 +315,7 @@
     )
 
 
-def encode_page(page: JobPage) -> bytes:
+def encode_page(page: ResultPage) -> bytes:
     """Return a page of results as callers read it."""
     return orjson.dumps(
         {
--- a/mountstand/serving_feeds.py
+++ b/mountstand/serving_feeds.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from mountstand.jobs.repository import HEADS, partitions
+from mountstand.jobs.repository import HEADS_TABLE, partition_names
 from mountstand.membership.registry import DAEMONS, DaemonRegistry
 from mountstand.quarantine.stored import SUSPECTS_TABLE
 from mountstand.serving.feeds import ConfigurationSource
@@ -102,7 +102,7 @@
         self.daemons.pause_s = DAEMONS_FEED_PAUSE_S
         self.suspects = peer_shared_watcher(SUSPECTS_TABLE, targets.apply_suspects)
         self.suspects.wait_s = SUSPECTS_LONG_POLL_S
-        self.jobs = TableWatcher(store, HEADS, partitions(), targets.apply_jobs, log)
+        self.jobs = TableWatcher(store, HEADS_TABLE, partition_names(), targets.apply_jobs, log)
         self._peer_addresses = KnownPeerAddresses(settings, targets.registry)
         self._set_long_poll_durations(settings)
         self.peer_tables = PeerTables(
--- a/tests/jobs/test_jobs.py
+++ b/tests/jobs/test_jobs.py
@@ -14,7 +14,7 @@
 from mountstand.jobs.item_execution import RunnerContext
 from mountstand.jobs.model import ItemState, JobSubmission
 from mountstand.jobs.owners import Owners
-from mountstand.jobs.repository import HEADS, JobRepository, partitions
+from mountstand.jobs.repository import HEADS_TABLE, JobRepository, partition_names
 from mountstand.jobs.service import JobService
 from mountstand.platform.ingress import parse_items
 from mountstand.serving.configuration import Configuration, RequestKind
@@ -74,7 +74,9 @@
         )
         owners = Owners(name, lambda: {other: other for other in live}, name)
         self.jobs = JobService(context, owners, parse_items, lambda head: 1000.0)
-        self.watcher = TableWatcher(store, HEADS, partitions(), self.jobs.apply, fleet.log)
+        self.watcher = TableWatcher(
+            store, HEADS_TABLE, partition_names(), self.jobs.apply, fleet.log
+        )
         self.tasks: list[asyncio.Task[None]] = []
 
     def store_now_ms(self) -> int:
@@ -112,7 +114,9 @@
                 return found
             found += [(r.item_id, r.state.value, r.text) for r in page.results]
 
-    async def finished(self, count: int, job_id: str = "job1") -> list[tuple[str, str, str]]:
+    async def wait_for_results(
+        self, count: int, job_id: str = "job1"
+    ) -> list[tuple[str, str, str]]:
         """Wait until ``count`` results are listed."""
         for _ in range(1000):
             try:
@@ -126,7 +130,7 @@
 
 
 class Jobs(TestCase):
-    def play(self, work, *scripts: tuple[Answer, ...], slots: int = 8) -> None:  # type: ignore[no-untyped-def]
+    def run_scenario(self, work, *scripts: tuple[Answer, ...], slots: int = 8) -> None:  # type: ignore[no-untyped-def]
         """Run ``work`` with a store, a fleet of stand-in workers, and grants every 20 ms."""
 
         async def scenario() -> None:
@@ -151,7 +155,7 @@
     def daemon(self, name: str = "d1") -> Daemon:
         return Daemon(name, self.store, self.fleet, self.live).start()
 
-    def assert_whole(self, found: list[tuple[str, str, str]], items: int = 3) -> None:
+    def assert_all_completed(self, found: list[tuple[str, str, str]], items: int = 3) -> None:
         """Check that every item is listed once, with its whole text."""
         self.assertEqual(sorted(f"job1-i{n}" for n in range(items)), sorted(r[0] for r in found))
         self.assertEqual({("completed", TEXT)}, {(r[1], r[2]) for r in found})
@@ -162,8 +166,8 @@
         async def work() -> None:
             daemon = self.daemon()
             self.assertEqual(SubmitOutcome.ACCEPTED, await daemon.submit(submission()))
-            found = await daemon.finished(3)
-            self.assert_whole(found)
+            found = await daemon.wait_for_results(3)
+            self.assert_all_completed(found)
             page = await daemon.jobs.read("job1", 2, 0.0, 1_000_000)
             assert page is not None
             self.assertEqual((3, 3), (page.total, page.next_position))
@@ -171,7 +175,7 @@
             self.assertEqual(b"b1", await daemon.jobs.item_body("job1", "job1-i1"))
             self.assertIsNone(await daemon.jobs.read("unknown", 0, 0.0, 1000))
 
-        self.play(work, (stream(4),))
+        self.run_scenario(work, (stream(4),))
 
     def test_a_job_over_the_bound_of_its_route_is_refused_until_items_have_ended(self) -> None:
         async def work() -> None:
@@ -192,14 +196,14 @@
             again = await second.submit(submission(tokens=200))
             self.assertEqual(SubmitOutcome.ACCEPTED, again, "it is there already")
             held.clear()
-            await first.finished(3)
+            await first.wait_for_results(3)
             await eventually(
-                lambda: not any(head.open for head, _ in first.jobs._heads.values()),
+                lambda: not any(head.is_open for head, _ in first.jobs._heads.values()),
                 "the feed tells the daemon that the job is done",
             )
             self.assertEqual(SubmitOutcome.ACCEPTED, await first.submit(more))
 
-        self.play(work, (stream(4),))
+        self.run_scenario(work, (stream(4),))
 
     def test_large_results_span_rows(self) -> None:
         async def answer(request, writer):  # type: ignore[no-untyped-def]
@@ -209,20 +213,20 @@
         async def work() -> None:
             daemon = self.daemon()
             await daemon.submit(submission(items=5))
-            found = await daemon.finished(5)
+            found = await daemon.wait_for_results(5)
             self.assertEqual({20000}, {len(text) for _, _, text in found})
 
-        self.play(work, (answer,))
+        self.run_scenario(work, (answer,))
 
     def test_cut_stream_goes_on_after_its_last_whole_event(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             await daemon.submit(submission(items=1))
-            self.assert_whole(await daemon.finished(1), 1)
+            self.assert_all_completed(await daemon.wait_for_results(1), 1)
             asked = [received.resume_after for received in self.fleet.workers[0].received]
             self.assertEqual([0, 2], asked)
 
-        self.play(work, (stream(4, cut_after=2), stream(4)))
+        self.run_scenario(work, (stream(4, cut_after=2), stream(4)))
 
     def test_undoable_and_failing_items_end_after_exactly_what_is_due(self) -> None:
         for name, script, runs in (
@@ -234,11 +238,11 @@
                 async def work(runs: int = runs) -> None:
                     daemon = self.daemon()
                     await daemon.submit(submission(items=1))
-                    found = await daemon.finished(1)
+                    found = await daemon.wait_for_results(1)
                     self.assertEqual([("job1-i0", ItemState.FAILED.value, "")], found)
                     self.assertEqual(runs, len(self.fleet.workers[0].received))
 
-                self.play(work, (script,))
+                self.run_scenario(work, (script,))
 
     def test_resets_and_refusals_use_up_no_attempts(self) -> None:
         full = whole(b"", "503 Service Unavailable", "Not-Run: 1")
@@ -246,9 +250,9 @@
         async def work() -> None:
             daemon = self.daemon()
             await daemon.submit(submission(items=1))
-            self.assert_whole(await daemon.finished(1), 1)
+            self.assert_all_completed(await daemon.wait_for_results(1), 1)
 
-        self.play(work, (reset, full, reset, reset, full, stream(4)))
+        self.run_scenario(work, (reset, full, reset, reset, full, stream(4)))
 
     def test_preempted_item_goes_on_later(self) -> None:
         async def work() -> None:
@@ -259,51 +263,51 @@
             await asyncio.sleep(0.25)
             placement = self.fleet.batch_scheduler._placements_by_worker_id["w0"][0]
             placement.preempt()
-            self.assert_whole(await daemon.finished(1), 1)
+            self.assert_all_completed(await daemon.wait_for_results(1), 1)
             self.assertTrue(worker.received[1].resume_after >= 1)
 
-        self.play(work, (stream(4, gap_s=0.1),))
+        self.run_scenario(work, (stream(4, gap_s=0.1),))
 
 
 class Store(Jobs):
-    def faulty(self, fault: Callable[[str], str]) -> None:
+    def set_fault(self, fault: Callable[[str], str]) -> None:
         self.store.fault = fault
 
     def test_lost_answers_of_every_second_write_list_nothing_twice(self) -> None:
         async def work() -> None:
             calls = iter(range(10_000))
-            self.faulty(lambda call: "lose" if call == "commit" and next(calls) % 2 == 0 else "")
+            self.set_fault(lambda call: "lose" if call == "commit" and next(calls) % 2 == 0 else "")
             daemon = self.daemon()
             self.assertEqual(SubmitOutcome.ACCEPTED, await daemon.submit(submission(items=6)))
-            self.assert_whole(await daemon.finished(6), 6)
+            self.assert_all_completed(await daemon.wait_for_results(6), 6)
 
-        self.play(work, (stream(4),))
+        self.run_scenario(work, (stream(4),))
 
     def test_results_wait_while_the_store_is_down(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             await daemon.submit(submission())
-            self.faulty(lambda call: "refuse" if call == "commit" else "")
+            self.set_fault(lambda call: "refuse" if call == "commit" else "")
             await eventually(lambda: len(self.fleet.workers[0].received) == 3, "items run")
             await asyncio.sleep(0.5)
             self.assertEqual([], await daemon.results())
-            self.faulty(lambda call: "")
-            self.assert_whole(await daemon.finished(3))
+            self.set_fault(lambda call: "")
+            self.assert_all_completed(await daemon.wait_for_results(3))
             self.assertEqual(3, len(self.fleet.workers[0].received), "no item ran again")
 
-        self.play(work, (stream(4),))
+        self.run_scenario(work, (stream(4),))
 
     def test_refused_job_never_runs(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             writes = ("commit", "put_object")
-            self.faulty(lambda call: "refuse" if call in writes else "")
+            self.set_fault(lambda call: "refuse" if call in writes else "")
             self.assertEqual(SubmitOutcome.REFUSED, await daemon.submit(submission()))
-            self.faulty(lambda call: "")
+            self.set_fault(lambda call: "")
             await asyncio.sleep(1.0)
             self.assertEqual([], self.fleet.workers[0].received)
 
-        self.play(work, (stream(4),))
+        self.run_scenario(work, (stream(4),))
 
     def test_job_is_refused_while_the_clock_of_the_store_is_not_known(self) -> None:
         async def work() -> None:
@@ -312,7 +316,7 @@
             self.assertEqual(SubmitOutcome.REFUSED, await daemon.submit(submission()))
             self.assertIsNone(await daemon.jobs.read("job1", 0, 0.0, 1000))
 
-        self.play(work, (stream(4),))
+        self.run_scenario(work, (stream(4),))
 
     def test_ended_job_is_kept_while_the_clock_of_the_store_is_not_known(self) -> None:
         """A daemon that has just started took its own clock for the store's and dropped it."""
@@ -320,16 +324,16 @@
         async def work() -> None:
             first = self.daemon("d1")
             await first.submit(submission())
-            await first.finished(3)
+            await first.wait_for_results(3)
             first.now_ms = None
-            await first.jobs.end("job1")
+            await first.jobs.cancel("job1")
             await asyncio.sleep(1.2)
             self.assertEqual(3, len(await first.results()))
             first.now_ms = 2_000_000
             await asyncio.sleep(1.2)
             self.assertEqual([], await first.results(), "an old job is dropped")
 
-        self.play(work, (stream(4),))
+        self.run_scenario(work, (stream(4),))
 
     def test_job_is_taken_soon_after_a_silent_store_is_back(self) -> None:
         """Found by a score: a pending try kept a job waiting until its caller gave up."""
@@ -337,48 +341,48 @@
         async def work() -> None:
             daemon = self.daemon()
             await daemon.watcher.loaded.wait()
-            self.faulty(lambda call: "hang")
-            asyncio.get_running_loop().call_later(0.5, self.faulty, lambda call: "")
+            self.set_fault(lambda call: "hang")
+            asyncio.get_running_loop().call_later(0.5, self.set_fault, lambda call: "")
             outcome = await asyncio.wait_for(daemon.submit(submission(), 4.0), 1.5)
             self.assertEqual(SubmitOutcome.ACCEPTED, outcome)
 
-        self.play(work, (stream(4),))
+        self.run_scenario(work, (stream(4),))
 
     def test_lost_write_is_not_called_refused(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             lost = {"commit": "drop", "put_object": "refuse"}
-            self.faulty(lambda call: lost.get(call, ""))
+            self.set_fault(lambda call: lost.get(call, ""))
             self.assertEqual(SubmitOutcome.OUTCOME_UNKNOWN, await daemon.submit(submission(), 0.5))
 
-        self.play(work, (stream(4),))
+        self.run_scenario(work, (stream(4),))
 
     def test_job_whose_part_takes_no_writes_is_kept_as_an_object(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             other = self.daemon("d2")
             await other.watcher.loaded.wait()
-            self.faulty(lambda call: "refuse" if call == "commit" else "")
+            self.set_fault(lambda call: "refuse" if call == "commit" else "")
             self.assertEqual(SubmitOutcome.ACCEPTED, await daemon.submit(submission()))
             page = await other.jobs.read("job1", 0, 0.0, 1000)
             assert page is not None
             self.assertEqual((3, []), (page.total, page.results))
             self.assertEqual(b"b2", await other.jobs.item_body("job1", "job1-i2"))
-            self.faulty(lambda call: "")
-            self.assert_whole(await other.finished(3))
+            self.set_fault(lambda call: "")
+            self.assert_all_completed(await other.wait_for_results(3))
 
-        self.play(work, (stream(4),))
+        self.run_scenario(work, (stream(4),))
 
     def test_job_bound_to_regions_is_refused_rather_than_kept_where_all_read_it(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             bound = replace(BATCH, regions=frozenset({"north"}))
             daemon.route, daemon.configuration = bound, configuration(bound)
-            self.faulty(lambda call: "refuse" if call == "commit" else "")
+            self.set_fault(lambda call: "refuse" if call == "commit" else "")
             self.assertEqual(SubmitOutcome.REFUSED, await daemon.submit(submission()))
             self.assertEqual([], await self.store.list_objects("accepted/"))
 
-        self.play(work, (stream(4),))
+        self.run_scenario(work, (stream(4),))
 
     def test_job_bound_to_regions_is_not_adopted_elsewhere(self) -> None:
         async def work() -> None:
@@ -395,20 +399,20 @@
             other.configuration = configuration(BATCH)
             await eventually(lambda: other.jobs._runners, "adopted once it may be")
 
-        self.play(work, (silence,))
+        self.run_scenario(work, (silence,))
 
     def test_job_kept_as_an_object_outlives_its_daemon(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             other = self.daemon("d2")
             await other.watcher.loaded.wait()
-            self.faulty(lambda call: "refuse" if call == "commit" else "")
+            self.set_fault(lambda call: "refuse" if call == "commit" else "")
             await daemon.submit(submission())
             daemon.kill()
-            self.faulty(lambda call: "")
-            self.assert_whole(await other.finished(3))
+            self.set_fault(lambda call: "")
+            self.assert_all_completed(await other.wait_for_results(3))
 
-        self.play(work, (stream(4),))
+        self.run_scenario(work, (stream(4),))
 
     def test_late_write_beside_an_object_makes_one_job(self) -> None:
         """A row write without an answer takes effect after the same job was kept as an object."""
@@ -417,13 +421,13 @@
             daemon = self.daemon()
             await daemon.watcher.loaded.wait()
             commits = iter(["lose"])
-            self.faulty(lambda call: next(commits, "") if call == "commit" else "")
+            self.set_fault(lambda call: next(commits, "") if call == "commit" else "")
             self.assertEqual(SubmitOutcome.ACCEPTED, await daemon.submit(submission(items=6)))
-            self.assert_whole(await daemon.finished(6), 6)
+            self.assert_all_completed(await daemon.wait_for_results(6), 6)
             await asyncio.sleep(1.5)
-            self.assert_whole(await daemon.results(), 6)
+            self.assert_all_completed(await daemon.results(), 6)
 
-        self.play(work, (stream(4, gap_s=0.05),))
+        self.run_scenario(work, (stream(4, gap_s=0.05),))
 
     def test_item_that_was_listed_meanwhile_is_not_listed_again(self) -> None:
         """Found by a hunt: two runners of one process listed an item at two positions."""
@@ -432,14 +436,14 @@
             daemon = self.daemon()
             await daemon.submit(submission(items=2))
             runner = daemon.jobs._runners["job1"]
-            found = await daemon.finished(1)
+            found = await daemon.wait_for_results(1)
             index = int(found[0][0][-1])
             again = next(r for r in await self._listed(daemon) if r.index == index)
             runner._finished.append(again)
             runner._changed.set()
-            self.assert_whole(await daemon.finished(2), 2)
+            self.assert_all_completed(await daemon.wait_for_results(2), 2)
 
-        self.play(work, (stream(4), stream(4, gap_s=0.3)), slots=2)
+        self.run_scenario(work, (stream(4), stream(4, gap_s=0.3)), slots=2)
 
     async def _listed(self, daemon: Daemon):  # type: ignore[no-untyped-def]
         page = await daemon.jobs.read("job1", 0, 0.0, 1_000_000)
@@ -457,11 +461,11 @@
                 lambda: any(key.table == saved.table for key in self.store.rows), "it is saved"
             )
             first.kill()
-            self.assert_whole(await second.finished(1), 1)
+            self.assert_all_completed(await second.wait_for_results(1), 1)
             asked = [received.resume_after for received in self.fleet.workers[0].received]
             self.assertTrue(asked[-1] >= 1, asked)
 
-        self.play(work, (stream(4, gap_s=0.8),))
+        self.run_scenario(work, (stream(4, gap_s=0.8),))
 
     def test_owner_that_wakes_lists_nothing(self) -> None:
         async def work() -> None:
@@ -471,12 +475,12 @@
             runner = first.jobs._runners["job1"]
             first.watcher._apply = lambda change: None
             self.live.discard("d1")
-            found = await second.finished(3)
-            self.assert_whole(found)
+            found = await second.wait_for_results(3)
+            self.assert_all_completed(found)
             await eventually(lambda: runner._stopped, "the old owner stops")
             self.assertEqual(found, await second.results())
 
-        self.play(work, (silence, silence, silence, stream(4)))
+        self.run_scenario(work, (silence, silence, silence, stream(4)))
 
     def test_planned_stop_hands_a_job_on_at_once(self) -> None:
         async def work() -> None:
@@ -486,11 +490,11 @@
             await eventually(lambda: len(self.fleet.workers[0].received) == 2, "items run")
             await asyncio.sleep(0.3)
             await asyncio.wait_for(first.jobs.drain(), 1.0)
-            self.assert_whole(await second.finished(2), 2)
+            self.assert_all_completed(await second.wait_for_results(2), 2)
             asked = [received.resume_after for received in self.fleet.workers[0].received]
             self.assertTrue(all(after >= 1 for after in asked[2:]), asked)
 
-        self.play(work, (stream(4, gap_s=0.2),))
+        self.run_scenario(work, (stream(4, gap_s=0.2),))
 
     def test_planned_stop_waits_for_no_slot(self) -> None:
         async def work() -> None:
@@ -498,7 +502,7 @@
             await daemon.submit(submission())
             await asyncio.wait_for(daemon.jobs.drain(), 1.0)
 
-        self.play(work, (stream(4),), slots=1)
+        self.run_scenario(work, (stream(4),), slots=1)
 
 
 class Order(TestCase):
@@ -528,17 +532,17 @@
             first, second = self.daemon("d1"), self.daemon("d2")
             await second.watcher.loaded.wait()
             await first.submit(submission(items=6))
-            await first.finished(1)
-            self.assertTrue(await second.jobs.end("job1"))
-            self.assertTrue(await second.jobs.end("job1"), "ending again is answered alike")
+            await first.wait_for_results(1)
+            self.assertTrue(await second.jobs.cancel("job1"))
+            self.assertTrue(await second.jobs.cancel("job1"), "ending again is answered alike")
             listed = await second.results()
             runs = len(self.fleet.workers[0].received)
             await asyncio.sleep(0.6)
             self.assertTrue(len(self.fleet.workers[0].received) <= runs + 1)
             self.assertEqual(listed, await second.results())
-            self.assertFalse(await second.jobs.end("unknown"))
+            self.assertFalse(await second.jobs.cancel("unknown"))
 
-        self.play(work, (stream(4, gap_s=0.1),), slots=1)
+        self.run_scenario(work, (stream(4, gap_s=0.1),), slots=1)
 
     def test_nothing_starts_without_fresh_contact_to_the_store(self) -> None:
         async def work() -> None:
@@ -551,7 +555,7 @@
             await asyncio.sleep(0.5)
             self.assertEqual([], self.fleet.workers[0].received)
 
-        self.play(work, (stream(4),))
+        self.run_scenario(work, (stream(4),))
 
     def test_ended_while_its_head_row_is_missing(self) -> None:
         async def work() -> None:
@@ -560,10 +564,10 @@
             self.store.fault = lambda call: "refuse" if call == "commit" else ""
             await daemon.submit(submission())
             self.store.fault = lambda call: ""
-            self.assertTrue(await daemon.jobs.end("job1"))
+            self.assertTrue(await daemon.jobs.cancel("job1"))
             await eventually(lambda: not daemon.jobs._runners, "the runner stops")
 
-        self.play(work, (silence,))
+        self.run_scenario(work, (silence,))
 
 
 class Cleaning(Jobs):
@@ -571,11 +575,11 @@
         async def work() -> None:
             daemon = self.daemon()
             await daemon.submit(submission())
-            await daemon.finished(3)
+            await daemon.wait_for_results(3)
             daemon.jobs._keep_s = lambda head: -1.0
             await eventually(lambda: not self.store.rows, "every row is gone")
 
-        self.play(work, (stream(4),))
+        self.run_scenario(work, (stream(4),))
 
 
 class Helpers(TestCase):
