--- a/mountstand/batch/executor.py
+++ b/mountstand/batch/executor.py
@@ -381,7 +381,7 @@
             return DispatchOutcome.NEUTRAL
         if error.executed is Executed.NO:
             if isinstance(error, BackendRefused):
-                self._router.refuse_until(worker.machine_id, error.retry_after_s or RETRY_PAUSE_S)
+                self._router.set_backoff(worker.machine_id, error.retry_after_s or RETRY_PAUSE_S)
             self._pause(held, item)
             unreachable = isinstance(error, BackendUnreachable)
             return DispatchOutcome.FAILED if unreachable else DispatchOutcome.REFUSED
--- a/mountstand/online/dispatcher.py
+++ b/mountstand/online/dispatcher.py
@@ -201,7 +201,7 @@
         worker_id = machine.machine_id
         if isinstance(error, BackendRefused):
             self._router.end(worker_id, DispatchOutcome.REFUSED)
-            self._router.refuse_until(worker_id, error.retry_after_s or REFUSED_PAUSE_S)
+            self._router.set_backoff(worker_id, error.retry_after_s or REFUSED_PAUSE_S)
             self._record_backend_full(request.service)
             return
         if isinstance(error, CallerLeft):
--- a/mountstand/routing/fleet_view.py
+++ b/mountstand/routing/fleet_view.py
@@ -159,7 +159,7 @@
         elif outcome is DispatchOutcome.FAILED:
             worker.health.record_failure(now_s)
 
-    def refuse_until(self, worker_id: str, until_s: float) -> None:
+    def set_backoff(self, worker_id: str, until_s: float) -> None:
         """Note that a worker refused and when it may be asked again."""
         worker = self.workers.get(worker_id)
         if worker is not None:
--- a/mountstand/routing/router.py
+++ b/mountstand/routing/router.py
@@ -59,10 +59,10 @@
         with self._lock:
             self._view.end_dispatch(worker_id, outcome, elapsed_s(), batch=True)
 
-    def refuse_until(self, worker_id: str, delay_s: float) -> None:
+    def set_backoff(self, worker_id: str, delay_s: float) -> None:
         """Leave a worker out for ``delay_s`` because it refused."""
         with self._lock:
-            self._view.refuse_until(worker_id, elapsed_s() + delay_s)
+            self._view.set_backoff(worker_id, elapsed_s() + delay_s)
 
     def update_machines(self, machines: Iterable[Machine]) -> None:
         """Take over the platform's machine list."""
--- a/tests/unit/test_chooser.py
+++ b/tests/unit/test_chooser.py
@@ -70,7 +70,7 @@
             "ejected": lambda: [
                 self.view.end_dispatch("w0", DispatchOutcome.FAILED, 100.0) for _ in range(3)
             ],
-            "refused a moment ago": lambda: self.view.refuse_until("w0", 101.0),
+            "refused a moment ago": lambda: self.view.set_backoff("w0", 101.0),
         }
         for name, happen in cases.items():
             self.setUp_again()
