--- a/mountstand/jobs/reading.py
+++ b/mountstand/jobs/reading.py
@@ -65,9 +65,9 @@
 
     def notify_change(self, job_id: str) -> None:
         """Wake the readers that wait for a job's results."""
-        changed = self._changed_by_job.pop(job_id, None)
-        if changed is not None:
-            changed.set()
+        change_event = self._changed_by_job.pop(job_id, None)
+        if change_event is not None:
+            change_event.set()
 
     async def page(
         self, job_id: str, after: int, wait_s: float, max_bytes: int, reader_tenant: str | None
@@ -82,7 +82,7 @@
             return cached
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + wait_s
-        changed = self._changed_by_job.setdefault(job_id, asyncio.Event())
+        change_event = self._changed_by_job.setdefault(job_id, asyncio.Event())
         found = await self._repository.load(job_id)
         if found is None:
             return await self._page_of_accepted(job_id, after, reader_tenant)
@@ -92,7 +92,7 @@
         if head.listed <= after and head.is_open and wait_s > 0:
             try:
                 async with asyncio.timeout_at(deadline_s):
-                    await changed.wait()
+                    await change_event.wait()
             except TimeoutError:
                 pass
             found = await self._repository.load(job_id)
