--- a/mountstand/batch/executor.py
+++ b/mountstand/batch/executor.py
@@ -203,7 +203,7 @@
             if self._buffered_bytes() >= self._settings.buffer_bytes:
                 return 0
             waiting = len(self._waiting)
-        slots = sum(self._router.batch_slots(worker.machine_id) for worker in workers)
+        slots = sum(self._router.batch_slot_limit(worker.machine_id) for worker in workers)
         target = min(slots, self._settings.max_in_flight) * PREFETCH_FACTOR
         return target - waiting - self._in_flight
 
@@ -282,7 +282,7 @@
             taken = self._waiting.take(worker.service, elapsed_s())
             if taken is not None:
                 self._in_flight += 1
-                self._router.begin_batch(worker.machine_id)
+                self._router.begin_batch_dispatch(worker.machine_id)
             return taken
 
     # Running
@@ -295,7 +295,7 @@
             logger.exception("batch item failed unexpectedly")
             self._pause(held, item)
         finally:
-            self._router.end_batch(worker.machine_id, outcome)
+            self._router.end_batch_dispatch(worker.machine_id, outcome)
             with self._changed:
                 self._in_flight -= 1
                 held.running.pop(item.index, None)
@@ -350,7 +350,7 @@
                 self._quarantine.note_broken(worker, content, sent_at_s)
             return self._handle_failure(held, item, worker, error)
         self._quarantine.note_served(content)
-        self._router.record_figures(worker.machine_id, answer.load)
+        self._router.record_response_load(worker.machine_id, answer.load)
         self._record_answer(held, item, answer)
         return DispatchOutcome.SUCCESS
 
--- a/mountstand/online/dispatcher.py
+++ b/mountstand/online/dispatcher.py
@@ -93,7 +93,7 @@
             return self._backend.call(machine, dispatch, timeout_s, request.caller_gone)
 
         dispatched = self._try_until_done(request, send)
-        self._router.end(dispatched.machine.machine_id, DispatchOutcome.SUCCESS)
+        self._router.end_dispatch(dispatched.machine.machine_id, DispatchOutcome.SUCCESS)
         self._quarantine.note_served(request.content_key)
         return dispatched
 
@@ -123,7 +123,7 @@
 
     def end_stream(self, machine: Machine, outcome: DispatchOutcome) -> None:
         """Report how a stream ended."""
-        self._router.end(machine.machine_id, outcome)
+        self._router.end_dispatch(machine.machine_id, outcome)
 
     def cancel(self, machine: Machine, request_id: str) -> None:
         """Cancel a dispatch at the back end without waiting for it."""
@@ -156,11 +156,11 @@
                     if not allowed:
                         self._refuse_suspect(request)
                     result = send(machine, dispatch, try_timeout_s(request))
-                self._router.record_figures(machine.machine_id, result.load)
+                self._router.record_response_load(machine.machine_id, result.load)
                 return Dispatched(machine, dispatch.request_id, result)
             except RequestQuarantined as error:
                 last_error = error
-                self._router.end(machine.machine_id, DispatchOutcome.NEUTRAL)
+                self._router.end_dispatch(machine.machine_id, DispatchOutcome.NEUTRAL)
                 break
             except MountstandError as error:
                 last_error = error
@@ -183,11 +183,11 @@
         self, request: OnlineRequest, excluded: frozenset[str], last_error: MountstandError | None
     ) -> Machine | None:
         route = RouteRequest(request.service, request.prefix, excluded)
-        machine = self._router.begin(route)
+        machine = self._router.begin_dispatch(route)
         if machine is None and last_error is not None:
             # Every worker was tried or refuses just now: those tried may be asked again once.
             time.sleep(max(0.0, min(NO_WORKER_PAUSE_S, request.deadline_s - elapsed_s())))
-            machine = self._router.begin(RouteRequest(request.service, request.prefix))
+            machine = self._router.begin_dispatch(RouteRequest(request.service, request.prefix))
         return machine
 
     def _learn(
@@ -200,14 +200,14 @@
     ) -> None:
         worker_id = machine.machine_id
         if isinstance(error, BackendRefused):
-            self._router.end(worker_id, DispatchOutcome.REFUSED)
+            self._router.end_dispatch(worker_id, DispatchOutcome.REFUSED)
             self._router.set_backoff(worker_id, error.retry_after_s or REFUSED_PAUSE_S)
             self._record_backend_full(request.service)
             return
         if isinstance(error, CallerLeft):
-            self._router.end(worker_id, DispatchOutcome.NEUTRAL)
+            self._router.end_dispatch(worker_id, DispatchOutcome.NEUTRAL)
         else:
-            self._router.end(worker_id, DispatchOutcome.FAILED)
+            self._router.end_dispatch(worker_id, DispatchOutcome.FAILED)
         if isinstance(error, BackendFailed) and not isinstance(error, CallerLeft):
             self._quarantine.note_broken(machine, request.content_key, sent_at_s)
         if isinstance(error, CrossedAnswer):
--- a/mountstand/routing/chooser.py
+++ b/mountstand/routing/chooser.py
@@ -12,16 +12,16 @@
 from mountstand.routing.fleet_view import FleetView, WorkerState
 from mountstand.routing.prefix_index import PrefixIndex
 
-SPILL_LOAD = 0.9
+SPILL_LOAD_THRESHOLD = 0.9
 """Load of the best home worker over which other zones are considered."""
 
-AFFINITY_LOAD_SLACK = 0.25
+MAX_AFFINITY_LOAD_EXCESS = 0.25
 """How much more loaded than the mean a worker may be and still be chosen for its prefix."""
 
-MIN_MATCHED_BLOCKS = 2
+MIN_AFFINITY_BLOCKS = 2
 """Shorter matches (128 characters) save less than an uneven load costs."""
 
-RANDOM_CHOICES = 2
+LOAD_SAMPLE_SIZE = 2
 
 
 @dataclass(frozen=True)
@@ -60,13 +60,13 @@
         candidates = [
             worker
             for worker in self._view.candidates(request.service, now_s)
-            if worker.worker_id not in request.excluded and worker.refused_until_s <= now_s
+            if worker.worker_id not in request.excluded and worker.backoff_until_s <= now_s
         ]
         candidates = self._apply_zone_weights(candidates)
         if not candidates:
             return None
-        local = self._local_or_all(candidates, now_s)
-        chosen = self._by_prefix(request, local, now_s) or self._by_load(local, now_s)
+        eligible = self._local_or_all(candidates, now_s)
+        chosen = self._by_prefix(request, eligible, now_s) or self._by_load(eligible, now_s)
         for block in request.prefix:
             self.prefix_index.record_stored(block, chosen.worker_id)
         return chosen
@@ -79,33 +79,33 @@
             for worker in candidates
             if self._random.random() < self.zone_weights.get(worker.machine.zone, 1.0)
         ]
-        open_zones = [w for w in candidates if self.zone_weights.get(w.machine.zone, 1.0) > 0]
-        return kept or open_zones
+        in_open_zones = [w for w in candidates if self.zone_weights.get(w.machine.zone, 1.0) > 0]
+        return kept or in_open_zones
 
     def _local_or_all(self, candidates: list[WorkerState], now_s: float) -> list[WorkerState]:
         home = [w for w in candidates if w.machine.zone == self._home_zone]
         if not home:
             return candidates
-        if min(worker.estimated_load(now_s) for worker in home) < SPILL_LOAD:
+        if min(worker.estimated_load(now_s) for worker in home) < SPILL_LOAD_THRESHOLD:
             return home
         return candidates
 
     def _by_prefix(
         self, request: RouteRequest, candidates: list[WorkerState], now_s: float
     ) -> WorkerState | None:
-        matched = self.prefix_index.matched_blocks(list(request.prefix))
+        matched = self.prefix_index.matched_block_counts(list(request.prefix))
         loads = {worker.worker_id: worker.estimated_load(now_s) for worker in candidates}
-        bound = sum(loads.values()) / len(loads) + AFFINITY_LOAD_SLACK
+        max_load = sum(loads.values()) / len(loads) + MAX_AFFINITY_LOAD_EXCESS
         holders = [
             worker
             for worker in candidates
-            if matched.get(worker.worker_id, 0) >= MIN_MATCHED_BLOCKS
-            and loads[worker.worker_id] <= bound
+            if matched.get(worker.worker_id, 0) >= MIN_AFFINITY_BLOCKS
+            and loads[worker.worker_id] <= max_load
         ]
         if not holders:
             return None
         return max(holders, key=lambda w: (matched[w.worker_id], -loads[w.worker_id]))
 
     def _by_load(self, candidates: list[WorkerState], now_s: float) -> WorkerState:
-        drawn = self._random.sample(candidates, min(RANDOM_CHOICES, len(candidates)))
-        return min(drawn, key=lambda worker: worker.estimated_load(now_s))
+        sampled = self._random.sample(candidates, min(LOAD_SAMPLE_SIZE, len(candidates)))
+        return min(sampled, key=lambda worker: worker.estimated_load(now_s))
--- a/mountstand/routing/fleet_view.py
+++ b/mountstand/routing/fleet_view.py
@@ -10,7 +10,7 @@
 from enum import Enum
 
 from mountstand.engines.port import LoadFigures, LoadReport
-from mountstand.routing.outliers import WorkerHealth, ejectable_count
+from mountstand.routing.outliers import WorkerHealth, max_ejected_count
 from mountstand.store.ports import Machine, MachineRole
 
 LOAD_REPORT_HALF_LIFE_S = 0.5
@@ -38,11 +38,11 @@
     batch_in_flight: int = 0
     report: LoadReport | None = None
     report_time_s: float = 0.0
-    in_flight_at_report: int = 0
+    own_in_flight_at_report: int = 0
     health: WorkerHealth = field(default_factory=WorkerHealth)
     reported_leaving: bool = False
     drained: bool = False
-    refused_until_s: float = 0.0
+    backoff_until_s: float = 0.0
 
     @property
     def worker_id(self) -> str:
@@ -67,7 +67,7 @@
             weight = 0.5 ** (age_s / LOAD_REPORT_HALF_LIFE_S)
             online = self.report.running + self.report.waiting
             online -= self.report.running_batch + self.report.waiting_batch
-            others = max(0, online - self.in_flight_at_report) * weight
+            others = max(0, online - self.own_in_flight_at_report) * weight
         return (self.in_flight + others) / self.slots
 
 
@@ -121,17 +121,17 @@
             return
         worker.report = report
         worker.report_time_s = now_s
-        worker.in_flight_at_report = worker.in_flight
+        worker.own_in_flight_at_report = worker.in_flight
         worker.reported_leaving = report.leaving
 
-    def record_figures(self, worker_id: str, figures: LoadFigures, now_s: float) -> None:
+    def record_response_load(self, worker_id: str, figures: LoadFigures, now_s: float) -> None:
         """Take the load that came with an answer; it is fresher than any polled report."""
         worker = self.workers.get(worker_id)
         if worker is None or worker.report is None:
             return
         worker.report = replace(worker.report, **figures.__dict__)
         worker.report_time_s = now_s
-        worker.in_flight_at_report = worker.in_flight
+        worker.own_in_flight_at_report = worker.in_flight
 
     def begin_dispatch(self, worker_id: str, *, batch: bool = False) -> None:
         """Count a dispatch to a worker."""
@@ -163,7 +163,7 @@
         """Note that a worker refused and when it may be asked again."""
         worker = self.workers.get(worker_id)
         if worker is not None:
-            worker.refused_until_s = until_s
+            worker.backoff_until_s = until_s
 
     def services(self) -> set[str]:
         """Return the services that some worker serves."""
@@ -171,27 +171,27 @@
 
     def models(self) -> dict[str, str]:
         """Return each model loaded anywhere with the service that has it."""
-        found: dict[str, str] = {}
+        service_by_model: dict[str, str] = {}
         for worker in self.workers.values():
             if worker.machine.role is not MachineRole.ENGINE:
                 continue
             for model in worker.report.models if worker.report else ():
-                found[model] = worker.machine.service
-            found.setdefault(worker.machine.service, worker.machine.service)
-        return found
+                service_by_model[model] = worker.machine.service
+            service_by_model.setdefault(worker.machine.service, worker.machine.service)
+        return service_by_model
 
     def candidates(self, service: str, now_s: float) -> list[WorkerState]:
         """Return the workers of ``service`` that may get new work, worst ejected left out."""
-        serving = [w for w in self._by_service.get(service, []) if not w.leaving]
-        ejected = [worker for worker in serving if worker.health.is_ejected(now_s)]
+        accepting = [w for w in self._by_service.get(service, []) if not w.leaving]
+        ejected = [worker for worker in accepting if worker.health.is_ejected(now_s)]
         ejected.sort(key=lambda worker: -worker.health.ejected_until_s)
-        removed = {worker.worker_id for worker in ejected[: ejectable_count(len(serving))]}
-        return [worker for worker in serving if worker.worker_id not in removed]
+        excluded_ids = {worker.worker_id for worker in ejected[: max_ejected_count(len(accepting))]}
+        return [worker for worker in accepting if worker.worker_id not in excluded_ids]
 
 
-def is_replaced(known: Machine, listed: Machine) -> bool:
+def is_replaced(previous: Machine, listed: Machine) -> bool:
     """Return whether a machine id now stands for another process."""
-    return (known.address, known.port, known.service) != (
+    return (previous.address, previous.port, previous.service) != (
         listed.address,
         listed.port,
         listed.service,
--- a/mountstand/routing/observer.py
+++ b/mountstand/routing/observer.py
@@ -77,7 +77,7 @@
 
     def poll_loads(self) -> None:
         """Ask a bounded number of workers for their load."""
-        machines = self._router.poll_order()
+        machines = self._router.workers_to_poll()
         self._load_rotation += self._load_round
         for machine in rotate(machines, self._load_rotation, self._load_round):
             self._submit(machine, self._poll_load)
--- a/mountstand/routing/outliers.py
+++ b/mountstand/routing/outliers.py
@@ -4,12 +4,12 @@
 
 from dataclasses import dataclass
 
-FAILURES_TO_EJECT = 3
+CONSECUTIVE_FAILURES_TO_EJECT = 3
 """Failures in a row, so that one broken exchange does not remove a worker."""
 
 BASE_EJECTION_S = 1.0
 MAX_EJECTION_S = 30.0
-MAX_EJECTED_SHARE = 0.5
+MAX_EJECTED_FRACTION = 0.5
 """Past this share failures are likely to be the daemon's or the network's own."""
 
 
@@ -17,14 +17,14 @@
 class WorkerHealth:
     """What one daemon has seen of one worker."""
 
-    failures_in_row: int = 0
-    ejections: int = 0
+    consecutive_failures: int = 0
+    consecutive_ejections: int = 0
     ejected_until_s: float = 0.0
 
     def record_success(self) -> None:
         """Forget earlier failures."""
-        self.failures_in_row = 0
-        self.ejections = 0
+        self.consecutive_failures = 0
+        self.consecutive_ejections = 0
         self.ejected_until_s = 0.0
 
     def record_failure(self, now_s: float) -> None:
@@ -34,11 +34,14 @@
         """
         if self.is_ejected(now_s):
             return
-        self.failures_in_row += 1
-        if self.failures_in_row < FAILURES_TO_EJECT and self.ejections == 0:
+        self.consecutive_failures += 1
+        if (
+            self.consecutive_failures < CONSECUTIVE_FAILURES_TO_EJECT
+            and self.consecutive_ejections == 0
+        ):
             return
-        duration_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**self.ejections)
-        self.ejections += 1
+        duration_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**self.consecutive_ejections)
+        self.consecutive_ejections += 1
         self.ejected_until_s = now_s + duration_s
 
     def is_ejected(self, now_s: float) -> bool:
@@ -46,6 +49,6 @@
         return now_s < self.ejected_until_s
 
 
-def ejectable_count(workers: int) -> int:
-    """Return how many of ``workers`` may be ejected at once."""
-    return int(workers * MAX_EJECTED_SHARE)
+def max_ejected_count(worker_count: int) -> int:
+    """Return how many of ``worker_count`` may be ejected at once."""
+    return int(worker_count * MAX_EJECTED_FRACTION)
--- a/mountstand/routing/prefix_index.py
+++ b/mountstand/routing/prefix_index.py
@@ -37,7 +37,7 @@
         if not holders:
             del self._holders[block]
 
-    def matched_blocks(self, blocks: list[str]) -> dict[str, int]:
+    def matched_block_counts(self, blocks: list[str]) -> dict[str, int]:
         """Return, by worker, how many leading ``blocks`` it is believed to hold."""
         matched: dict[str, int] = {}
         holding: set[str] | None = None
--- a/mountstand/routing/router.py
+++ b/mountstand/routing/router.py
@@ -12,10 +12,10 @@
 from mountstand.routing.fleet_view import DispatchOutcome, FleetView
 from mountstand.store.ports import Machine, MachineRole
 
-MAX_POLLED_IN_USE = 64
+IDLE_POLLING_MAX_BUSY_WORKERS = 64
 """With this many workers in use, idle ones are not polled; a dispatch brings them in."""
 
-MODELS_KEPT_S = 0.5
+MODELS_CACHE_TTL_S = 0.5
 """Reading the models off every worker for every request is dear in a large fleet."""
 
 BATCH_OVERCOMMIT = 1.125
@@ -35,7 +35,7 @@
         self.version = 0
         """Rises when workers come, go or are drained; for caches of what follows from them."""
 
-    def begin(self, request: RouteRequest) -> Machine | None:
+    def begin_dispatch(self, request: RouteRequest) -> Machine | None:
         """Choose a worker and count the dispatch; ``None`` when none may take it."""
         with self._lock:
             worker = self._chooser.choose(request, elapsed_s())
@@ -44,17 +44,17 @@
             self._view.begin_dispatch(worker.worker_id)
             return worker.machine
 
-    def end(self, worker_id: str, outcome: DispatchOutcome) -> None:
+    def end_dispatch(self, worker_id: str, outcome: DispatchOutcome) -> None:
         """Count the end of a dispatch."""
         with self._lock:
             self._view.end_dispatch(worker_id, outcome, elapsed_s())
 
-    def begin_batch(self, worker_id: str) -> None:
+    def begin_batch_dispatch(self, worker_id: str) -> None:
         """Count a batch dispatch to a worker chosen by the batch executor."""
         with self._lock:
             self._view.begin_dispatch(worker_id, batch=True)
 
-    def end_batch(self, worker_id: str, outcome: DispatchOutcome) -> None:
+    def end_batch_dispatch(self, worker_id: str, outcome: DispatchOutcome) -> None:
         """Count the end of a batch dispatch."""
         with self._lock:
             self._view.end_dispatch(worker_id, outcome, elapsed_s(), batch=True)
@@ -75,11 +75,11 @@
         with self._lock:
             self._view.record_load(worker_id, report, elapsed_s())
 
-    def record_figures(self, worker_id: str, figures: LoadFigures | None) -> None:
+    def record_response_load(self, worker_id: str, figures: LoadFigures | None) -> None:
         """Take the load that came with an answer, if it did."""
         if figures is not None:
             with self._lock:
-                self._view.record_figures(worker_id, figures, elapsed_s())
+                self._view.record_response_load(worker_id, figures, elapsed_s())
 
     def record_failure(self, worker_id: str) -> None:
         """Count a failure seen outside a dispatch, such as an unanswered load poll."""
@@ -115,14 +115,14 @@
         with self._lock:
             return [worker.machine for worker in self._view.workers.values()]
 
-    def poll_order(self) -> list[Machine]:
+    def workers_to_poll(self) -> list[Machine]:
         """Return the workers to poll: all of them while few, else those in use first."""
         with self._lock:
             workers = list(self._view.workers.values())
-        in_use = [w.machine for w in workers if w.in_flight or w.batch_in_flight]
-        if len(in_use) >= MAX_POLLED_IN_USE:
-            return in_use
-        return in_use + [w.machine for w in workers if not (w.in_flight or w.batch_in_flight)]
+        busy = [w.machine for w in workers if w.in_flight or w.batch_in_flight]
+        if len(busy) >= IDLE_POLLING_MAX_BUSY_WORKERS:
+            return busy
+        return busy + [w.machine for w in workers if not (w.in_flight or w.batch_in_flight)]
 
     def services(self) -> set[str]:
         """Return the services that some worker serves."""
@@ -132,7 +132,7 @@
     def models(self) -> dict[str, str]:
         """Return each model with the service that has it."""
         now_s = elapsed_s()
-        if now_s - self._models_read_s > MODELS_KEPT_S or not self._models:
+        if now_s - self._models_read_s > MODELS_CACHE_TTL_S or not self._models:
             with self._lock:
                 self._models = self._view.models()
             self._models_read_s = now_s
@@ -153,7 +153,7 @@
                 if worker.machine.role is MachineRole.ENGINE and not worker.leaving
             ]
 
-    def batch_slots(self, worker_id: str) -> int:
+    def batch_slot_limit(self, worker_id: str) -> int:
         """Return how many batch items a worker should have, those it has now included."""
         with self._lock:
             return self._batch_slots(worker_id)
@@ -162,7 +162,7 @@
         """Return how many more batch items a worker can take without displacing online work."""
         with self._lock:
             worker = self._view.workers.get(worker_id)
-            if worker is None or worker.refused_until_s > elapsed_s():
+            if worker is None or worker.backoff_until_s > elapsed_s():
                 return 0
             return max(0, self._batch_slots(worker_id) - worker.batch_in_flight)
 
