--- a/mountstand/jobs/reading.py
+++ b/mountstand/jobs/reading.py
@@ -83,7 +83,7 @@
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + wait_s
         change_event = self._changed_by_job.setdefault(job_id, asyncio.Event())
-        found = await self._repository.load(job_id)
+        found = await self._repository.load_head(job_id)
         if found is None:
             return await self._page_of_accepted(job_id, after, reader_tenant)
         head = found[0]
@@ -95,7 +95,7 @@
                     await change_event.wait()
             except TimeoutError:
                 pass
-            found = await self._repository.load(job_id)
+            found = await self._repository.load_head(job_id)
             if found is None:
                 return None
             head = found[0]
@@ -108,7 +108,7 @@
 
     async def load_head_or_object(self, job_id: str) -> tuple[JobHead, int] | None:
         """Return a job's head, also that of a job kept as an object without a head row."""
-        found = await self._repository.load(job_id)
+        found = await self._repository.load_head(job_id)
         if found is not None:
             return found
         accepted = await self._repository.load_object_submission(job_id)
--- a/mountstand/jobs/repository.py
+++ b/mountstand/jobs/repository.py
@@ -82,7 +82,7 @@
 
     # Reading
 
-    async def load(self, job_id: str) -> tuple[JobHead, int] | None:
+    async def load_head(self, job_id: str) -> tuple[JobHead, int] | None:
         """Return a job's head and its version, or ``None`` if the store has no such job."""
         page = await self.rows.read(HEADS_TABLE, partition_of(job_id), job_id, job_id + "\x00", 1)
         if not page.rows or page.rows[0].value is None:
--- a/mountstand/jobs/runner.py
+++ b/mountstand/jobs/runner.py
@@ -168,7 +168,7 @@
     async def _reload(self) -> None:
         """Read the head: a write of this process goes on from there, any other ends the run."""
         try:
-            found = await self._context.repository.load(self.head.job_id)
+            found = await self._context.repository.load_head(self.head.job_id)
         except StoreError:
             await asyncio.sleep(RETRY_FIRST_S)
             return
--- a/mountstand/jobs/service.py
+++ b/mountstand/jobs/service.py
@@ -219,7 +219,7 @@
             without_head = [
                 job_id
                 for job_id in await self._repository.list_object_job_ids()
-                if job_id not in self._heads and await self._repository.load(job_id) is None
+                if job_id not in self._heads and await self._repository.load_head(job_id) is None
             ]
             confirmed_job_ids = [job_id for job_id in without_head if job_id in self._without_head]
             self._without_head = set(without_head)
