--- a/mountstand/routing/chooser.py
+++ b/mountstand/routing/chooser.py
@@ -48,12 +48,12 @@
         Share of ordinary traffic that a zone takes, 0 to 1; zones not named take all of theirs.
     """
 
-    def __init__(self, view: FleetView, home_zone: str, source: random.Random) -> None:
+    def __init__(self, view: FleetView, home_zone: str, random_source: random.Random) -> None:
         self.prefix_index = PrefixIndex()
         self.zone_weights: dict[str, float] = {}
         self._view = view
         self._home_zone = home_zone
-        self._random = source
+        self._random = random_source
 
     def choose(self, request: RouteRequest, now_s: float) -> WorkerState | None:
         """Return the worker for ``request``, or ``None`` when none may take it."""
@@ -93,18 +93,18 @@
     def _by_prefix(
         self, request: RouteRequest, candidates: list[WorkerState], now_s: float
     ) -> WorkerState | None:
-        matched = self.prefix_index.matched_block_counts(list(request.prefix))
+        matched_counts = self.prefix_index.matched_block_counts(list(request.prefix))
         loads = {worker.worker_id: worker.estimated_load(now_s) for worker in candidates}
         max_load = sum(loads.values()) / len(loads) + MAX_AFFINITY_LOAD_EXCESS
         holders = [
             worker
             for worker in candidates
-            if matched.get(worker.worker_id, 0) >= MIN_AFFINITY_BLOCKS
+            if matched_counts.get(worker.worker_id, 0) >= MIN_AFFINITY_BLOCKS
             and loads[worker.worker_id] <= max_load
         ]
         if not holders:
             return None
-        return max(holders, key=lambda w: (matched[w.worker_id], -loads[w.worker_id]))
+        return max(holders, key=lambda w: (matched_counts[w.worker_id], -loads[w.worker_id]))
 
     def _by_load(self, candidates: list[WorkerState], now_s: float) -> WorkerState:
         sampled = self._random.sample(candidates, min(LOAD_SAMPLE_SIZE, len(candidates)))
--- a/mountstand/routing/fleet_view.py
+++ b/mountstand/routing/fleet_view.py
@@ -61,14 +61,14 @@
 
     def estimated_load(self, now_s: float) -> float:
         """Return online work over slots: own in flight plus others' by the aged report."""
-        others = 0.0
+        others_online = 0.0
         if self.report is not None:
             age_s = max(0.0, now_s - self.report_time_s)
             weight = 0.5 ** (age_s / LOAD_REPORT_HALF_LIFE_S)
             online = self.report.running + self.report.waiting
             online -= self.report.running_batch + self.report.waiting_batch
-            others = max(0, online - self.own_in_flight_at_report) * weight
-        return (self.in_flight + others) / self.slots
+            others_online = max(0, online - self.own_in_flight_at_report) * weight
+        return (self.in_flight + others_online) / self.slots
 
 
 class FleetView:
@@ -124,12 +124,12 @@
         worker.own_in_flight_at_report = worker.in_flight
         worker.reported_leaving = report.leaving
 
-    def record_response_load(self, worker_id: str, figures: LoadFigures, now_s: float) -> None:
+    def record_response_load(self, worker_id: str, load: LoadFigures, now_s: float) -> None:
         """Take the load that came with an answer; it is fresher than any polled report."""
         worker = self.workers.get(worker_id)
         if worker is None or worker.report is None:
             return
-        worker.report = replace(worker.report, **figures.__dict__)
+        worker.report = replace(worker.report, **load.__dict__)
         worker.report_time_s = now_s
         worker.own_in_flight_at_report = worker.in_flight
 
--- a/mountstand/routing/observer.py
+++ b/mountstand/routing/observer.py
@@ -12,9 +12,9 @@
 from mountstand.routing.router import Router
 from mountstand.store.ports import Machine, MachineListPort, MachineRole
 
-POLL_THREADS = 8
+POLL_THREAD_COUNT = 8
 
-MachineObserver = Callable[[list[Machine]], None]
+MachineListCallback = Callable[[list[Machine]], None]
 
 
 class FleetObserver:
@@ -25,7 +25,7 @@
         router: Router,
         machine_list: MachineListPort,
         backend: BackendPort,
-        on_machines: MachineObserver,
+        on_machines: MachineListCallback,
         *,
         machines_poll_s: float,
         load_poll_s: float,
@@ -37,7 +37,7 @@
         self._machine_list = machine_list
         self._backend = backend
         self._on_machines = on_machines
-        self._executor = ThreadPoolExecutor(POLL_THREADS, thread_name_prefix="worker-poll")
+        self._executor = ThreadPoolExecutor(POLL_THREAD_COUNT, thread_name_prefix="worker-poll")
         self._polling: set[str] = set()
         self._polling_lock = threading.Lock()
         self._cache_numbers: dict[str, int] = {}
@@ -79,14 +79,14 @@
         """Ask a bounded number of workers for their load."""
         machines = self._router.workers_to_poll()
         self._load_rotation += self._load_round
-        for machine in rotate(machines, self._load_rotation, self._load_round):
+        for machine in circular_slice(machines, self._load_rotation, self._load_round):
             self._submit(machine, self._poll_load)
 
     def poll_caches(self) -> None:
         """Ask a bounded number of engines for their cache events."""
         engines = [m for m in self._router.machines() if m.role is MachineRole.ENGINE]
         self._cache_rotation += self._cache_round
-        for machine in rotate(engines, self._cache_rotation, self._cache_round):
+        for machine in circular_slice(engines, self._cache_rotation, self._cache_round):
             self._submit(machine, self._poll_cache)
 
     def _submit(self, machine: Machine, poll: Callable[[Machine], None]) -> None:
@@ -122,7 +122,7 @@
         self._router.record_cache_changes(machine.machine_id, changes)
 
 
-def rotate(machines: list[Machine], start: int, count: int) -> list[Machine]:
+def circular_slice(machines: list[Machine], start: int, count: int) -> list[Machine]:
     """Return ``count`` machines from position ``start`` on, going round."""
     if len(machines) <= count:
         return machines
--- a/mountstand/routing/prefix_index.py
+++ b/mountstand/routing/prefix_index.py
@@ -39,13 +39,13 @@
 
     def matched_block_counts(self, blocks: list[str]) -> dict[str, int]:
         """Return, by worker, how many leading ``blocks`` it is believed to hold."""
-        matched: dict[str, int] = {}
-        holding: set[str] | None = None
+        matched_counts: dict[str, int] = {}
+        common_holders: set[str] | None = None
         for depth, block in enumerate(blocks, start=1):
             holders = self._holders.get(block, set())
-            holding = holders if holding is None else holding & holders
-            if not holding:
+            common_holders = holders if common_holders is None else common_holders & holders
+            if not common_holders:
                 break
-            for worker_id in holding:
-                matched[worker_id] = depth
-        return matched
+            for worker_id in common_holders:
+                matched_counts[worker_id] = depth
+        return matched_counts
--- a/mountstand/routing/router.py
+++ b/mountstand/routing/router.py
@@ -75,11 +75,11 @@
         with self._lock:
             self._view.record_load(worker_id, report, elapsed_s())
 
-    def record_response_load(self, worker_id: str, figures: LoadFigures | None) -> None:
+    def record_response_load(self, worker_id: str, load: LoadFigures | None) -> None:
         """Take the load that came with an answer, if it did."""
-        if figures is not None:
+        if load is not None:
             with self._lock:
-                self._view.record_response_load(worker_id, figures, elapsed_s())
+                self._view.record_response_load(worker_id, load, elapsed_s())
 
     def record_failure(self, worker_id: str) -> None:
         """Count a failure seen outside a dispatch, such as an unanswered load poll."""
