--- a/mountstand/jobs/acceptance.py
+++ b/mountstand/jobs/acceptance.py
@@ -13,7 +13,7 @@
 from enum import Enum
 
 from mountstand.jobs.model import JobHead, JobSubmission
-from mountstand.jobs.repository import JOB_OBJECT_NAME_COUNT, JobRepository
+from mountstand.jobs.repository import MAX_JOB_OBJECT_COPIES, JobRepository
 from mountstand.store.rows import ABSENT, Conflict, OutcomeUnknown, StoreRefused
 
 REFUSE_SHARE = 0.2
@@ -57,7 +57,7 @@
         repository: JobRepository,
         submission: JobSubmission,
         head: JobHead,
-        copies: int = JOB_OBJECT_NAME_COUNT,
+        copies: int = MAX_JOB_OBJECT_COPIES,
     ) -> None:
         self._repository = repository
         self._submission = submission
--- a/mountstand/jobs/repository.py
+++ b/mountstand/jobs/repository.py
@@ -50,7 +50,7 @@
 bring the removal of another, and the head is one more."""
 
 JOB_OBJECT_PREFIX = "accepted/"
-JOB_OBJECT_NAME_COUNT = 3
+MAX_JOB_OBJECT_COPIES = 3
 """Names under which a job may be kept as an object while its part of the rows takes no writes. A
 store that is down in part serves some names; with three, one of them nearly always."""
 
@@ -93,7 +93,7 @@
 
     async def load_object_submission(self, job_id: str) -> tuple[str, StoredSubmission] | None:
         """Return the submission of a job that is kept as an object, if any, and its name."""
-        for number in range(JOB_OBJECT_NAME_COUNT):
+        for number in range(MAX_JOB_OBJECT_COPIES):
             name = job_object_name(job_id, number)
             value = await self._objects.get_object(name)
             if value is not None:
@@ -218,7 +218,7 @@
             await self._drop_range(DOCUMENTS_TABLE, head.job_id)
             return
         await self._objects.drop_object(head.object_name)
-        for number in range(JOB_OBJECT_NAME_COUNT):
+        for number in range(MAX_JOB_OBJECT_COPIES):
             await self._objects.drop_object(job_object_name(head.job_id, number))
 
     async def delete(self, head: JobHead, version: int) -> None:
--- a/mountstand/jobs/service.py
+++ b/mountstand/jobs/service.py
@@ -16,7 +16,7 @@
 from mountstand.jobs.owners import Owners
 from mountstand.jobs.quota import TokenQuota
 from mountstand.jobs.reading import ANY_TENANT, JobReader, ResultPage, is_visible_to_tenant
-from mountstand.jobs.repository import JOB_OBJECT_NAME_COUNT, JobRepository, new_write_id
+from mountstand.jobs.repository import MAX_JOB_OBJECT_COPIES, JobRepository, new_write_id
 from mountstand.jobs.runner import JobRunner
 from mountstand.serving.configuration import Route
 from mountstand.store.rows import Conflict, StoreError, StoreRefused
@@ -110,7 +110,7 @@
             if stored.begin is not None:
                 self._begin(*stored.begin, submission.items)
 
-        copies = 0 if self._is_bound(route, submission.tenant) else JOB_OBJECT_NAME_COUNT
+        copies = 0 if self._is_bound(route, submission.tenant) else MAX_JOB_OBJECT_COPIES
         acceptance = JobAcceptance(self._repository, submission, head, copies)
         outcome = await acceptance.run(route.target_latency_s, deadline_s, begin)
         if was_there and submission.tenant:
