--- a/mountstand/routing/chooser.py
+++ b/mountstand/routing/chooser.py
@@ -74,20 +74,20 @@
     def _apply_zone_weights(self, candidates: list[WorkerState]) -> list[WorkerState]:
         if not self.zone_weights:
             return candidates
-        kept = [
+        admitted = [
             worker
             for worker in candidates
             if self._random.random() < self.zone_weights.get(worker.machine.zone, 1.0)
         ]
         in_open_zones = [w for w in candidates if self.zone_weights.get(w.machine.zone, 1.0) > 0]
-        return kept or in_open_zones
+        return admitted or in_open_zones
 
     def _local_or_all(self, candidates: list[WorkerState], now_s: float) -> list[WorkerState]:
-        home = [w for w in candidates if w.machine.zone == self._home_zone]
-        if not home:
+        home_workers = [w for w in candidates if w.machine.zone == self._home_zone]
+        if not home_workers:
             return candidates
-        if min(worker.estimated_load(now_s) for worker in home) < SPILL_LOAD_THRESHOLD:
-            return home
+        if min(worker.estimated_load(now_s) for worker in home_workers) < SPILL_LOAD_THRESHOLD:
+            return home_workers
         return candidates
 
     def _by_prefix(
--- a/mountstand/routing/fleet_view.py
+++ b/mountstand/routing/fleet_view.py
@@ -111,8 +111,8 @@
         return True
 
     def _mark_drained(self, worker: WorkerState) -> None:
-        by_id = worker.worker_id in self._drained_ids
-        worker.drained = by_id or worker.machine.zone in self._drained_zones
+        drained_by_id = worker.worker_id in self._drained_ids
+        worker.drained = drained_by_id or worker.machine.zone in self._drained_zones
 
     def record_load(self, worker_id: str, report: LoadReport, now_s: float) -> None:
         """Take a load report as of ``now_s``."""
@@ -182,11 +182,11 @@
 
     def candidates(self, service: str, now_s: float) -> list[WorkerState]:
         """Return the workers of ``service`` that may get new work, worst ejected left out."""
-        accepting = [w for w in self._by_service.get(service, []) if not w.leaving]
-        ejected = [worker for worker in accepting if worker.health.is_ejected(now_s)]
+        available = [w for w in self._by_service.get(service, []) if not w.leaving]
+        ejected = [worker for worker in available if worker.health.is_ejected(now_s)]
         ejected.sort(key=lambda worker: -worker.health.ejected_until_s)
-        excluded_ids = {worker.worker_id for worker in ejected[: max_ejected_count(len(accepting))]}
-        return [worker for worker in accepting if worker.worker_id not in excluded_ids]
+        excluded_ids = {worker.worker_id for worker in ejected[: max_ejected_count(len(available))]}
+        return [worker for worker in available if worker.worker_id not in excluded_ids]
 
 
 def is_replaced(previous: Machine, listed: Machine) -> bool:
--- a/mountstand/routing/observer.py
+++ b/mountstand/routing/observer.py
@@ -113,12 +113,12 @@
         self._router.record_load(machine.machine_id, report)
 
     def _poll_cache(self, machine: Machine) -> None:
-        after = self._cache_numbers.get(machine.machine_id, 0)
+        after_number = self._cache_numbers.get(machine.machine_id, 0)
         try:
-            changes, last = self._backend.cache_changes(machine, after)
+            changes, last_number = self._backend.cache_changes(machine, after_number)
         except MountstandError:
             return
-        self._cache_numbers[machine.machine_id] = last
+        self._cache_numbers[machine.machine_id] = last_number
         self._router.record_cache_changes(machine.machine_id, changes)
 
 
--- a/mountstand/routing/router.py
+++ b/mountstand/routing/router.py
@@ -12,7 +12,7 @@
 from mountstand.routing.fleet_view import DispatchOutcome, FleetView
 from mountstand.store.ports import Machine, MachineRole
 
-IDLE_POLLING_MAX_BUSY_WORKERS = 64
+BUSY_WORKERS_TO_SKIP_IDLE_POLLING = 64
 """With this many workers in use, idle ones are not polled; a dispatch brings them in."""
 
 MODELS_CACHE_TTL_S = 0.5
@@ -120,7 +120,7 @@
         with self._lock:
             workers = list(self._view.workers.values())
         busy = [w.machine for w in workers if w.in_flight or w.batch_in_flight]
-        if len(busy) >= IDLE_POLLING_MAX_BUSY_WORKERS:
+        if len(busy) >= BUSY_WORKERS_TO_SKIP_IDLE_POLLING:
             return busy
         return busy + [w.machine for w in workers if not (w.in_flight or w.batch_in_flight)]
 
@@ -173,8 +173,8 @@
             return 0
         if worker.health.is_ejected(now_s):
             return 0
-        idle = worker.slots - worker.estimated_load(now_s) * worker.slots
-        return max(0, int(idle * BATCH_OVERCOMMIT))
+        idle_slots = worker.slots - worker.estimated_load(now_s) * worker.slots
+        return max(0, int(idle_slots * BATCH_OVERCOMMIT))
 
     def status(self) -> list[dict[str, object]]:
         """Return one line per worker for operators."""
