--- a/mountstand/jobs/reading.py
+++ b/mountstand/jobs/reading.py
@@ -106,7 +106,7 @@
         items = await self._items_of(job_id, reader_tenant)
         return next((item.body for item in items if item.item_id == item_id), None)
 
-    async def load_head_or_object(self, job_id: str) -> tuple[JobHead, int] | None:
+    async def load_or_build_head(self, job_id: str) -> tuple[JobHead, int] | None:
         """Return a job's head, also that of a job kept as an object without a head row."""
         found = await self._repository.load_head(job_id)
         if found is not None:
@@ -166,7 +166,7 @@
                 if is_visible_to_tenant(reader_tenant, head)
                 else None
             )
-        found = await self.load_head_or_object(job_id)
+        found = await self.load_or_build_head(job_id)
         if found is None or not is_visible_to_tenant(reader_tenant, found[0]):
             return None
         return await self._page(found[0], after, 1)
@@ -179,7 +179,7 @@
         cached = self._documents.get(job_id)
         if cached is not None and known is not None:
             return cached if is_visible_to_tenant(reader_tenant, known) else ()
-        found = await self.load_head_or_object(job_id)
+        found = await self.load_or_build_head(job_id)
         if found is None or not is_visible_to_tenant(reader_tenant, found[0]):
             return ()
         items = await self.load_items(found[0])
--- a/mountstand/jobs/service.py
+++ b/mountstand/jobs/service.py
@@ -94,7 +94,7 @@
 
     async def _refuse_unless_known(self, submission: JobSubmission) -> SubmitOutcome:
         """Refuse a job that does not fit, unless another daemon took it: it is sent again then."""
-        found = await self._reads.load_head_or_object(submission.job_id)
+        found = await self._reads.load_or_build_head(submission.job_id)
         return (
             SubmitOutcome.OVER_QUOTA if found is None else _outcome_of_known(submission, found[0])
         )
@@ -114,7 +114,7 @@
         acceptance = JobAcceptance(self._repository, submission, head, copies)
         outcome = await acceptance.run(route.target_latency_s, deadline_s, begin)
         if was_there and submission.tenant:
-            found = await self._reads.load_head_or_object(submission.job_id)
+            found = await self._reads.load_or_build_head(submission.job_id)
             return outcome if found is None else _outcome_of_known(submission, found[0])
         return outcome
 
@@ -138,7 +138,7 @@
     async def cancel(self, job_id: str, reader_tenant: str | None = ANY_TENANT) -> bool:
         """End a job; returns whether ``reader_tenant`` has one. Raises ``StoreError``."""
         while True:
-            found = await self._reads.load_head_or_object(job_id)
+            found = await self._reads.load_or_build_head(job_id)
             if found is None or not is_visible_to_tenant(reader_tenant, found[0]):
                 return False
             head, version = found
@@ -224,7 +224,7 @@
             confirmed_job_ids = [job_id for job_id in without_head if job_id in self._without_head]
             self._without_head = set(without_head)
             for job_id in confirmed_job_ids:
-                found = await self._reads.load_head_or_object(job_id)
+                found = await self._reads.load_or_build_head(job_id)
                 if found is not None:
                     await self._adopt(*found)
         except StoreError:
--- a/tests/jobs/test_jobs.py
+++ b/tests/jobs/test_jobs.py
@@ -27,7 +27,7 @@
 
 BATCH = route(RequestKind.BATCH, max_attempts=3)
 TEXT = "\n".join(f"piece {number}" for number in range(1, 5))
-FAILED = whole(b"", "500 Internal Server Error")
+INTERNAL_SERVER_ERROR = whole(b"", "500 Internal Server Error")
 
 
 def submission(job_id: str = "job1", items: int = 3, tokens: int = 0) -> JobSubmission:
@@ -231,7 +231,7 @@
     def test_undoable_and_failing_items_end_after_exactly_what_is_due(self) -> None:
         for name, script, runs in (
             ("422 at once", whole(b"", "422 Unprocessable"), 1),
-            ("500 after max_attempts", FAILED, 3),
+            ("500 after max_attempts", INTERNAL_SERVER_ERROR, 3),
         ):
             with self.subTest(name):
 
@@ -239,7 +239,9 @@
                     daemon = self.daemon()
                     await daemon.submit(submission(items=1))
                     found = await daemon.wait_for_results(1)
-                    self.assertEqual([("job1-i0", ItemState.FAILED.value, "")], found)
+                    self.assertEqual(
+                        [("job1-i0", ItemState.INTERNAL_SERVER_ERROR.value, "")], found
+                    )
                     self.assertEqual(runs, len(self.fleet.workers[0].received))
 
                 self.run_scenario(work, (script,))
