--- a/mountstand/jobs/__init__.py
+++ b/mountstand/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs whose truth lies in the row store: acceptance, ownership, execution, results."""
+"""Batch jobs, with the row store as source of truth: acceptance, ownership, execution, results."""
--- a/mountstand/jobs/acceptance.py
+++ b/mountstand/jobs/acceptance.py
@@ -1,8 +1,9 @@
-"""Takes a job: durable before it is acknowledged, and refused only if no write can take effect.
+"""Stores a submitted job durably before it is acknowledged.
 
-A job is written to its rows. Where that is refused or takes long it is also kept as an object, and
-a write without an answer is tried again beside the pending one, since the store may be back long
-before the first try's time is over. All tries are the same job: the first that succeeds decides.
+The job is written to its rows. If that write fails or is slow, the job is also written as objects,
+and further writes are started beside those still pending, since the store may recover long before
+the pending ones time out. All writes store the same job, and the first to succeed accepts it. The
+job is refused only if none of the writes can have taken effect.
 """
 
 from __future__ import annotations
@@ -16,21 +17,24 @@
 from mountstand.jobs.repository import MAX_JOB_OBJECT_COPIES, JobRepository
 from mountstand.store.rows import ABSENT, Conflict, OutcomeUnknown, StoreRefused
 
-REFUSE_SHARE = 0.2
-"""Share of a job's target latency within which a job is refused if the store does nothing."""
+REFUSE_AFTER_LATENCY_SHARE = 0.2
+"""Share of the target latency after which a job is refused if the store rejected all writes."""
 
-OBJECTS_AFTER_S = 0.25
-"""A row write that takes longer is joined by writes of objects."""
+OBJECT_FALLBACK_DELAY_S = 0.25
+"""How long the first row write may take before object writes are started beside it."""
 
-AGAIN_AFTER_S = 0.7
-"""A write that is pending for so long is joined by another."""
+HEDGE_INTERVAL_S = 0.7
+"""How long to wait for pending writes before the next round of writes starts beside them."""
 
-PAUSE_S = 0.05
-"""Pause between tries that are refused at once."""
+ROUND_PAUSE_S = 0.05
+"""Pause before waiting on a round of writes; limits the rate if the store rejects them at once."""
 
 
 class SubmitOutcome(Enum):
-    """What became of a submission."""
+    """Outcome of a submission.
+
+    After ``OUTCOME_UNKNOWN``, the job may or may not be stored.
+    """
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -41,15 +45,20 @@
 
 @dataclass(frozen=True)
 class StoredJob:
-    """A job that is durable; ``begin`` is ``None`` where it was there before."""
+    """A durable job.
+
+    ``begin`` is its head and version (``ABSENT`` if stored as an object), or ``None`` if its rows
+    already existed, possibly from an earlier write of this submission.
+    """
 
     begin: tuple[JobHead, int] | None
 
 
 class JobAcceptance:
-    """One submission's tries.
+    """Writes one submission to the store until a write succeeds.
 
-    ``copies`` is under how many names the job may be kept as an object.
+    ``object_copies`` is the number of object copies that each round writes, each under its own
+    name.
     """
 
     def __init__(
@@ -57,65 +66,79 @@
         repository: JobRepository,
         submission: JobSubmission,
         head: JobHead,
-        copies: int = MAX_JOB_OBJECT_COPIES,
+        object_copies: int = MAX_JOB_OBJECT_COPIES,
     ) -> None:
         self._repository = repository
         self._submission = submission
         self._head = head
-        self._copies = copies
-        self._pending: set[asyncio.Task[StoredJob]] = set()
-        self._unclear = False
+        self._object_copies = object_copies
+        self._pending_writes: set[asyncio.Task[StoredJob]] = set()
+        self._outcome_unknown = False
 
     async def run(
         self, target_latency_s: float, deadline_s: float, on_stored: Callable[[StoredJob], None]
     ) -> SubmitOutcome:
-        """Try until the job is stored, surely is not, or ``deadline_s`` has come."""
+        """Start writes until the job is stored, is certain not to be, or ``deadline_s`` has passed.
+
+        ``deadline_s`` is in event loop time. ``on_stored`` is called once if the job is accepted.
+        Writes still pending on return are not cancelled; they store the same job, so they are
+        harmless. Raises any error other than ``OutcomeUnknown`` and ``StoreRefused``.
+        """
         loop = asyncio.get_running_loop()
-        refuse_at_s = min(deadline_s, loop.time() + target_latency_s * REFUSE_SHARE)
-        with_objects = False
-        wait_s = OBJECTS_AFTER_S
-        self._start(self._write_rows())
+        refuse_at_s = min(deadline_s, loop.time() + target_latency_s * REFUSE_AFTER_LATENCY_SHARE)
+        objects_started = False
+        timeout_s = OBJECT_FALLBACK_DELAY_S
+        self._start_write(self._write_rows())
         while True:
-            stored = await self._wait(min(wait_s, max(0.0, deadline_s - loop.time())))
+            stored = await self._wait_for_success(
+                min(timeout_s, max(0.0, deadline_s - loop.time()))
+            )
             if stored is not None:
                 on_stored(stored)
                 return SubmitOutcome.ACCEPTED
-            if not self._pending and not self._unclear and loop.time() >= refuse_at_s:
+            if (
+                not self._pending_writes
+                and not self._outcome_unknown
+                and loop.time() >= refuse_at_s
+            ):
                 return SubmitOutcome.REFUSED
             if loop.time() >= deadline_s:
                 return SubmitOutcome.OUTCOME_UNKNOWN
-            if with_objects:
-                self._start(self._write_rows())
-            for number in range(self._copies):
-                self._start(self._write_object(number))
-            with_objects = True
-            wait_s = AGAIN_AFTER_S
-            await asyncio.sleep(PAUSE_S)
-
-    def _start(self, work: Coroutine[None, None, StoredJob]) -> None:
-        task = asyncio.create_task(work)
-        task.add_done_callback(note_outcome)
-        self._pending.add(task)
-
-    async def _wait(self, wait_s: float) -> StoredJob | None:
-        """Wait for a try that succeeds, until all have failed or ``wait_s`` is over."""
+            if objects_started:
+                self._start_write(self._write_rows())
+            for copy_index in range(self._object_copies):
+                self._start_write(self._write_object(copy_index))
+            objects_started = True
+            timeout_s = HEDGE_INTERVAL_S
+            await asyncio.sleep(ROUND_PAUSE_S)
+
+    def _start_write(self, write: Coroutine[None, None, StoredJob]) -> None:
+        task = asyncio.create_task(write)
+        task.add_done_callback(retrieve_exception)
+        self._pending_writes.add(task)
+
+    async def _wait_for_success(self, timeout_s: float) -> StoredJob | None:
+        """Return the first successful write, or ``None`` if all fail or ``timeout_s`` passes.
+
+        Raises any error other than ``OutcomeUnknown`` and ``StoreRefused``.
+        """
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + wait_s
-        while self._pending:
-            left_s = until_s - loop.time()
-            if left_s <= 0:
+        timeout_at_s = loop.time() + timeout_s
+        while self._pending_writes:
+            remaining_s = timeout_at_s - loop.time()
+            if remaining_s <= 0:
                 return None
-            done, self._pending = await asyncio.wait(
-                self._pending, timeout=left_s, return_when=asyncio.FIRST_COMPLETED
+            done, self._pending_writes = await asyncio.wait(
+                self._pending_writes, timeout=remaining_s, return_when=asyncio.FIRST_COMPLETED
             )
             for task in done:
-                problem = task.exception()
-                if problem is None:
+                error = task.exception()
+                if error is None:
                     return task.result()
-                if isinstance(problem, OutcomeUnknown):
-                    self._unclear = True
-                elif not isinstance(problem, StoreRefused):
-                    raise problem
+                if isinstance(error, OutcomeUnknown):
+                    self._outcome_unknown = True
+                elif not isinstance(error, StoreRefused):
+                    raise error
         return None
 
     async def _write_rows(self) -> StoredJob:
@@ -125,14 +148,14 @@
             return StoredJob(None)
         return StoredJob((self._head, version))
 
-    async def _write_object(self, number: int) -> StoredJob:
+    async def _write_object(self, copy_index: int) -> StoredJob:
         name = await self._repository.submit_object(
-            self._submission, number, self._head.accepted_ms
+            self._submission, copy_index, self._head.accepted_ms
         )
         return StoredJob((replace(self._head, object_name=name), ABSENT))
 
 
-def note_outcome(task: asyncio.Task[StoredJob]) -> None:
-    """Take note of a try that ended after its caller had an answer; it is the same job."""
+def retrieve_exception(task: asyncio.Task[StoredJob]) -> None:
+    """Retrieve a write's exception, so that asyncio does not log it as never retrieved."""
     if not task.cancelled():
         task.exception()
--- a/mountstand/jobs/item_execution.py
+++ b/mountstand/jobs/item_execution.py
@@ -1,4 +1,4 @@
-"""Runs one batch item at a worker and collects its output."""
+"""Sends batch items to workers and collects their output."""
 
 from __future__ import annotations
 
@@ -21,49 +21,55 @@
 from mountstand.telemetry.serving_metrics import ServingMetrics
 from mountstand.transport.http_client import ClientConnection, ConnectFailed, ReplyBroken
 
-STALL_S = 2.0
-"""An item whose stream says nothing for so long is resumed at another worker."""
+STREAM_STALL_TIMEOUT_S = 2.0
+"""Maximum gap between two chunks of a response stream, after which the attempt fails."""
 
-FIRST_EVENT_S = 6.0
-"""An item that gets no answer for so long is put to another worker."""
+RESPONSE_HEAD_TIMEOUT_S = 6.0
+"""Maximum wait for a response head, after which the attempt fails."""
 
-FAILED_STATUS = 500
-"""A worker ran a request and failed; only these answers use up attempts."""
+WORKER_ERROR_STATUS = 500
+"""The worker ran the request and failed. Only this status counts towards ``max_attempts``."""
 
-UNDOABLE_STATUS = 422
-"""A worker says that a request can never be done."""
+UNPROCESSABLE_STATUS = 422
+"""The worker can never process this request, so the item fails without a retry."""
 
 
 @dataclass
 class ItemProgress:
-    """What there is of one item's output."""
+    """One item's output so far and the state of its current attempt."""
 
     index: int
     item: JobItem
     texts: list[str] = field(default_factory=list)
     last_event_id: int | None = None
     failures: int = 0
+    """Number of ``WORKER_ERROR_STATUS`` responses; broken streams do not count."""
+
     preempted: bool = False
     connection: ClientConnection | None = None
     call: Call | None = None
-    """The request as workers get it, made once, since hashing its content reads the whole body."""
+    """The request to workers, cached because hashing its content reads the whole body."""
 
     saved_event_id: int | None = None
-    ran_s: float = 0.0
-    """How long attempts that this daemon made ran at workers."""
+    """ID of the last event that was saved to the store."""
+
+    run_time_s: float = 0.0
+    """Total time that this daemon's attempts at the item spent reading response bodies."""
 
-    held_back: bool = False
-    """Whether it was told that the item crashes workers and waits."""
+    block_logged: bool = False
+    """Whether ``item_held_back`` was logged for this item."""
 
-    restored: bool = False
-    """Whether another process ran the first part."""
+    restored_from_store: bool = False
+    """Whether the first part of the output comes from another process's saved progress."""
 
     sent_at_s: float | None = None
-    first_event_at_s: float | None = None
-    """When the present attempt was sent and when its answer began, on the loop's clock."""
+    """When the current attempt sent its request, in event loop time."""
+
+    head_received_at_s: float | None = None
+    """When the current attempt received a response head with status 200, in event loop time."""
 
     def preempt(self) -> None:
-        """Close the item's stream, since online work needs the slot."""
+        """Close the item's connection to free its slot for online requests."""
         self.preempted = True
         if self.connection is not None:
             self.connection.close()
@@ -71,7 +77,11 @@
 
 @dataclass(frozen=True)
 class RunnerContext:
-    """What all runners of a daemon share."""
+    """Services and state shared by all job runners of a daemon.
+
+    ``store_age_s`` returns the age of this daemon's view of the store. Items start only while it is
+    at most ``max_store_age_s``.
+    """
 
     repository: JobRepository
     directory: WorkerDirectory
@@ -89,7 +99,7 @@
 
 
 class ItemExecutor:
-    """Puts the items of one job to workers."""
+    """Runs the items of one job at workers."""
 
     def __init__(self, context: RunnerContext, job_id: str, host: str, tenant: str = "") -> None:
         self._context = context
@@ -100,7 +110,7 @@
     async def attempt(
         self, progress: ItemProgress, route: Route, worker: Worker
     ) -> ItemResult | None:
-        """Make one attempt; returns the item's end, or ``None`` if it must be tried again."""
+        """Make one attempt; return the final result, or ``None`` if the item must be retried."""
         with self._context.quarantine.running(self._call(progress), worker):
             result = await self._attempt(progress, route, worker)
         if result is None and progress.sent_at_s is not None:
@@ -110,23 +120,25 @@
     async def _attempt(
         self, progress: ItemProgress, route: Route, worker: Worker
     ) -> ItemResult | None:
-        progress.sent_at_s = progress.first_event_at_s = None
-        reading = PendingPrefill(worker, progress.item.prompt)
+        progress.sent_at_s = progress.head_received_at_s = None
+        pending_prefill = PendingPrefill(worker, progress.item.prompt)
         try:
             progress.connection = await self._context.connections.acquire(worker, repeatable=True)
             if progress.preempted:
                 return None
-            return await self._exchange(progress, route, worker, progress.connection, reading)
-        except (ConnectFailed, ReplyBroken, TimeoutError) as problem:
-            cause = "preempted" if progress.preempted else str(problem) or "silent"
-            if isinstance(problem, ReplyBroken) and progress.connection is not None:
+            return await self._exchange(
+                progress, route, worker, progress.connection, pending_prefill
+            )
+        except (ConnectFailed, ReplyBroken, TimeoutError) as error:
+            cause = "preempted" if progress.preempted else str(error) or "silent"
+            if isinstance(error, ReplyBroken) and progress.connection is not None:
                 self._context.connections.note_broken(progress.connection)
-            if not isinstance(problem, ConnectFailed) and not progress.preempted:
-                self._note_broken(progress, worker)
-            self._log_attempt(progress, worker, cause)
+            if not isinstance(error, ConnectFailed) and not progress.preempted:
+                self._record_broken_attempt(progress, worker)
+            self._log_failed_attempt(progress, worker, cause)
             return None
         finally:
-            reading.end()
+            pending_prefill.end()
             if progress.connection is not None:
                 self._context.connections.release(worker, progress.connection, 1)
                 progress.connection = None
@@ -137,13 +149,13 @@
         route: Route,
         worker: Worker,
         connection: ClientConnection,
-        reading: PendingPrefill,
+        pending_prefill: PendingPrefill,
     ) -> ItemResult | None:
         context = self._context
         loop = asyncio.get_running_loop()
         call = self._call(progress)
         if not worker.admit_send(loop.time()):
-            self._log_attempt(progress, worker, "worker cold")
+            self._log_failed_attempt(progress, worker, "worker cold")
             context.metrics.send_withheld()
             return None
         headers = context.protocol.request_headers(call, worker, None, progress.last_event_id)
@@ -155,11 +167,11 @@
             lambda reply: context.protocol.is_reply_to(call, reply),
         )
         progress.sent_at_s = loop.time()
-        async with asyncio.timeout(FIRST_EVENT_S):
-            head = await connection.read_head()
-        reading.end()
+        async with asyncio.timeout(RESPONSE_HEAD_TIMEOUT_S):
+            response_head = await connection.read_head()
+        pending_prefill.end()
         worker.note_reply(loop.time())
-        reply_summary = context.protocol.reply_summary(head)
+        reply_summary = context.protocol.reply_summary(response_head)
         if reply_summary.load is not None:
             worker.note_load(reply_summary.load, loop.time())
         if reply_summary.kind is ReplyKind.OTHER_WORKER:
@@ -168,23 +180,23 @@
         if reply_summary.kind is ReplyKind.NOT_RUN:
             worker.note_overloaded(loop.time())
             return None
-        if head.status != 200:
-            return self._note_failure(progress, route, worker, head.status)
-        began_s = loop.time()
-        progress.first_event_at_s = began_s
+        if response_head.status != 200:
+            return self._handle_error_status(progress, route, worker, response_head.status)
+        head_received_at_s = loop.time()
+        progress.head_received_at_s = head_received_at_s
         try:
             await self._collect(progress, worker, connection)
         finally:
-            progress.ran_s += loop.time() - began_s
+            progress.run_time_s += loop.time() - head_received_at_s
         worker.health.own.add(loop.time(), failed=False)
         context.quarantine.note_served(call)
-        if not progress.restored:
-            context.batch_scheduler.durations.observe(worker.record.service, progress.ran_s)
+        if not progress.restored_from_store:
+            context.batch_scheduler.durations.observe(worker.record.service, progress.run_time_s)
         self._log(
             "item_completed",
             item=progress.item.item_id,
             worker=worker.record.worker_id,
-            **self._run_times(progress),
+            **self._attempt_log_fields(progress),
         )
         return ItemResult(
             progress.index,
@@ -196,51 +208,57 @@
     async def _collect(
         self, progress: ItemProgress, worker: Worker, connection: ClientConnection
     ) -> None:
-        """Collect whole events until the stream's end. Raises ``ReplyBroken``."""
+        """Append complete events to the output until the stream ends.
+
+        Raises ``ReplyBroken`` if the stream ends within an event, ``TimeoutError`` if it stalls.
+        """
         splitter = EventSplitter()
         loop = asyncio.get_running_loop()
         while True:
-            async with asyncio.timeout(STALL_S):
-                piece = await connection.read_piece()
-            if piece is None:
+            async with asyncio.timeout(STREAM_STALL_TIMEOUT_S):
+                chunk = await connection.read_piece()
+            if chunk is None:
                 break
             worker.last_contact_s = worker.last_data_s = loop.time()
-            for event in splitter.feed(piece):
+            for event in splitter.feed(chunk):
                 progress.texts.append(event.data.decode("utf-8", "replace"))
                 progress.last_event_id = event.event_id
         if splitter.partial:
             raise ReplyBroken("ended within an event")
 
-    def _note_broken(self, progress: ItemProgress, worker: Worker) -> None:
-        """Count an attempt that broke or fell silent against its worker, and suspect the item."""
+    def _record_broken_attempt(self, progress: ItemProgress, worker: Worker) -> None:
+        """Count a broken or timed-out attempt against the worker and make the item a suspect."""
         if progress.sent_at_s is not None:
             call = self._call(progress)
             self._context.quarantine.note_broken(worker, call, progress.sent_at_s)
         worker.health.own.add(asyncio.get_running_loop().time(), failed=True)
 
-    def _note_failure(
+    def _handle_error_status(
         self, progress: ItemProgress, route: Route, worker: Worker, status: int
     ) -> ItemResult | None:
-        self._log_attempt(progress, worker, f"status {status}")
-        if status == UNDOABLE_STATUS:
-            return self.given_up(progress, "cannot be done", route.name)
-        if status == FAILED_STATUS:
+        self._log_failed_attempt(progress, worker, f"status {status}")
+        if status == UNPROCESSABLE_STATUS:
+            return self.fail_item(progress, "cannot be done", route.name)
+        if status == WORKER_ERROR_STATUS:
             progress.failures += 1
             worker.health.own.add(asyncio.get_running_loop().time(), failed=True)
         if progress.failures >= route.max_attempts:
-            return self.given_up(progress, "attempts used up", route.name)
+            return self.fail_item(progress, "attempts used up", route.name)
         return None
 
     def blocked_for_s(self, progress: ItemProgress) -> float:
-        """Return for how long an item may not be sent to workers, 0 if it may be."""
+        """Return how long the quarantine still blocks an item, or 0 if it may run."""
         return self._context.quarantine.blocked_for_s(self._call(progress))
 
     def allows(self, progress: ItemProgress, worker: Worker) -> bool:
-        """Return whether an item may run at a worker beside other suspects that run there."""
+        """Return whether the quarantine lets an item run at a worker.
+
+        The answer depends on the other items suspected of crashing workers that run there.
+        """
         return self._context.quarantine.allows(self._call(progress), worker)
 
-    def given_up(self, progress: ItemProgress, cause: str, route: str) -> ItemResult:
-        """Return the end of an item that is given up."""
+    def fail_item(self, progress: ItemProgress, cause: str, route: str) -> ItemResult:
+        """Log that an item has failed permanently, and return its result."""
         self._log("item_given_up", item=progress.item.item_id, cause=cause, route=route)
         return ItemResult(progress.index, progress.item.item_id, ItemState.FAILED, "")
 
@@ -259,7 +277,7 @@
             )
         return progress.call
 
-    def _log_attempt(self, progress: ItemProgress, worker: Worker, cause: str) -> None:
+    def _log_failed_attempt(self, progress: ItemProgress, worker: Worker, cause: str) -> None:
         self._log(
             "item_attempt_failed",
             item=progress.item.item_id,
@@ -270,18 +288,20 @@
             last_event=progress.last_event_id,
             in_flight=worker.in_flight,
             load=worker.load.total if worker.load else None,
-            **self._run_times(progress),
+            **self._attempt_log_fields(progress),
         )
 
-    def _run_times(self, progress: ItemProgress) -> dict[str, float | int | None]:
-        """Return what a line tells of the present attempt's times and of the item's prompt."""
+    def _attempt_log_fields(self, progress: ItemProgress) -> dict[str, float | int | None]:
+        """Return log fields for the current attempt's timings, total run time and prompt size."""
         now_s = asyncio.get_running_loop().time()
-        sent_s, first_s = progress.sent_at_s, progress.first_event_at_s
+        sent_at_s, head_received_at_s = progress.sent_at_s, progress.head_received_at_s
         prompt = progress.item.prompt
         return {
-            "read_ms": milliseconds(first_s - sent_s) if first_s and sent_s else None,
-            "ms": milliseconds(now_s - sent_s) if sent_s else None,
-            "ran_ms": milliseconds(progress.ran_s),
+            "read_ms": milliseconds(head_received_at_s - sent_at_s)
+            if head_received_at_s and sent_at_s
+            else None,
+            "ms": milliseconds(now_s - sent_at_s) if sent_at_s else None,
+            "ran_ms": milliseconds(progress.run_time_s),
             "shared_tokens": prompt.shared_tokens,
             "own_tokens": prompt.own_tokens,
         }
--- a/mountstand/jobs/result_cache.py
+++ b/mountstand/jobs/result_cache.py
@@ -1,4 +1,4 @@
-"""Listed results kept in memory; they never change, so they need no check."""
+"""In-memory cache of listed results, which are immutable and so need no invalidation."""
 
 from __future__ import annotations
 
@@ -8,30 +8,33 @@
 
 
 class ResultCache:
-    """Listed results, bounded in bytes; the oldest go first."""
+    """Cache of results by job and position in listing order; evicts the oldest insertions first."""
 
     def __init__(self, limit_bytes: int) -> None:
         self._limit_bytes = limit_bytes
-        self._bytes = 0
+        self._size_bytes = 0
         self._results: OrderedDict[tuple[str, int], ItemResult] = OrderedDict()
 
     def put(self, job_id: str, position: int, result: ItemResult) -> None:
-        """Keep the result at a position."""
+        """Add a result, unless the position is cached, and evict the oldest over the limit."""
         if (job_id, position) in self._results:
             return
         self._results[job_id, position] = result
-        self._bytes += len(result.text)
-        while self._bytes > self._limit_bytes:
-            _, dropped = self._results.popitem(last=False)
-            self._bytes -= len(dropped.text)
+        self._size_bytes += len(result.text)
+        while self._size_bytes > self._limit_bytes:
+            _, evicted = self._results.popitem(last=False)
+            self._size_bytes -= len(evicted.text)
 
     def contiguous_from(self, job_id: str, position: int, max_bytes: int) -> list[ItemResult]:
-        """Return kept results from ``position`` on without a gap, up to ``max_bytes``."""
-        found: list[ItemResult] = []
-        size = 0
-        while (result := self._results.get((job_id, position + len(found)))) is not None:
-            size += len(result.text)
-            if found and size > max_bytes:
+        """Return consecutive cached results from ``position``, up to ``max_bytes``.
+
+        The first result is returned even if it is larger.
+        """
+        results: list[ItemResult] = []
+        size_bytes = 0
+        while (result := self._results.get((job_id, position + len(results)))) is not None:
+            size_bytes += len(result.text)
+            if results and size_bytes > max_bytes:
                 break
-            found.append(result)
-        return found
+            results.append(result)
+        return results
--- a/mountstand/jobs/runner.py
+++ b/mountstand/jobs/runner.py
@@ -1,9 +1,12 @@
 """Runs the items of one batch job and lists their results.
 
-One process owns a job at a time, by the job's head row. Items run only on workers that online work
-leaves idle, and give way to it by closing their stream, to be resumed at another worker after the
-last whole event. Results wait in memory until a conditional write of the head lists them; a
-process that lost the job cannot list anything.
+Listing a result commits it to the job's head row, which also names the one process that owns the
+job. A job is open until it is ended or all its results are listed.
+
+Items run only in worker slots that online requests leave idle. When an online request needs the
+slot, the item's connection is closed and the item resumes at another worker after its last complete
+event. Results stay in memory until a conditional write of the head row lists them, so a process
+that no longer owns the job cannot list any.
 """
 
 from __future__ import annotations
@@ -22,20 +25,22 @@
 from mountstand.serving.residency import Regions
 from mountstand.store.rows import ABSENT, Conflict, OutcomeUnknown, StoreError
 
-SAVE_S = 1.5
-"""How often the events of running items are kept in the store: a crash costs this much of a run,
-a save costs one call per job."""
+PROGRESS_SAVE_INTERVAL_S = 1.5
+"""How often the output of running items is saved. After a crash, at most about this much of a run
+is repeated; each save costs one store call per job."""
+
+BLOCKED_RECHECK_INTERVAL_S = 1.0
+"""How often an item blocked by the quarantine is checked again."""
 
-HELD_BACK_CHECK_S = 1.0
-"""How often an item that crashes workers is looked at again, until it is blocked no more."""
+INITIAL_RETRY_DELAY_S = 0.1
+"""First delay after a failed store write, and mean delay before a failed attempt is repeated."""
 
-RETRY_FIRST_S = 0.1
-RETRY_LONGEST_S = 0.5
-"""Pause of a failed write to the store, and of an item after a failure."""
+MAX_RETRY_DELAY_S = 0.5
+"""Upper bound of the exponential backoff after failed store writes."""
 
 
 class JobRunner:
-    """Runs one job until it is done, ended, lost or released."""
+    """Runs one job until it completes, is ended, gets another owner or is released."""
 
     def __init__(
         self,
@@ -55,11 +60,11 @@
             for index, item in enumerate(items)
             if not head.is_listed(index)
         }
-        self._saved: set[int] = set()
-        for item in saved:
-            self._restore(item)
+        self._stored_progress_indexes: set[int] = set()
+        for saved_progress in saved:
+            self._restore(saved_progress)
         self._finished: deque[ItemResult] = deque()
-        self._listing: dict[str, list[ItemResult]] = {}
+        self._unconfirmed_by_write_id: dict[str, list[ItemResult]] = {}
         self._changed = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
         self._waiting_tasks: set[asyncio.Task[None]] = set()
@@ -68,30 +73,30 @@
 
     @property
     def items(self) -> tuple[JobItem, ...]:
-        """The items of the job."""
+        """All items of the job, in order of submission."""
         return self._items
 
     async def run(self) -> None:
-        """Run until nothing is left to do here; cancels its items when it ends."""
+        """Run the items and list their results; cancel any items still running on exit."""
         for progress in self._progress.values():
             task = asyncio.create_task(self._run_item(progress))
             self._tasks.add(task)
-            task.add_done_callback(self._note_task_done)
-        saving = asyncio.create_task(self._save_regularly())
+            task.add_done_callback(self._on_item_task_done)
+        save_task = asyncio.create_task(self._save_periodically())
         try:
             await self._list_results()
         finally:
             self._stopped = True
-            saving.cancel()
+            save_task.cancel()
             for task in self._tasks:
                 task.cancel()
 
-    def _note_task_done(self, task: asyncio.Task[None]) -> None:
+    def _on_item_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         self._changed.set()
 
     def handle_head(self, head: JobHead, version: int) -> None:
-        """Take a head that the feed tells; one that another process wrote ends the run."""
+        """Handle a head from the store feed: stop if the job has ended or has another owner."""
         if version <= self._version:
             return
         if head.ended or head.owner != self.head.owner:
@@ -99,9 +104,10 @@
             self._changed.set()
 
     def drain(self) -> None:
-        """Start no more items; list what has ended and release the job.
+        """Stop starting items, list the finished results and release the job.
 
-        While the store takes no writes, the items that run go on.
+        Running items continue while the store rejects writes. Releasing cancels them after saving
+        their progress, which needs a head row.
         """
         self._draining = True
         for task in list(self._waiting_tasks):
@@ -111,7 +117,12 @@
     # Listing
 
     async def _list_results(self) -> None:
-        pause_s = RETRY_FIRST_S
+        """List results until the job closes or the run stops.
+
+        A job that was accepted as an object has no head row yet (version ``ABSENT``), so its first
+        write creates the row even if no result is finished.
+        """
+        retry_delay_s = INITIAL_RETRY_DELAY_S
         while not self._stopped and self.head.is_open:
             if not self._finished and self._version != ABSENT and not self._draining:
                 self._changed.clear()
@@ -121,17 +132,17 @@
                 if self._draining and not self._finished:
                     await self._release()
                     return
-                await self._list_once()
-                pause_s = RETRY_FIRST_S
+                await self._list_finished()
+                retry_delay_s = INITIAL_RETRY_DELAY_S
             except Conflict:
                 await self._reload()
-            except StoreError as problem:
-                self._log("listing_delayed", cause=type(problem).__name__, detail=str(problem))
-                await asyncio.sleep(pause_s * random.uniform(0.7, 1.0))
-                pause_s = min(RETRY_LONGEST_S, pause_s * 2)
-                await self._reload_after(problem)
+            except StoreError as error:
+                self._log("listing_delayed", cause=type(error).__name__, detail=str(error))
+                await asyncio.sleep(retry_delay_s * random.uniform(0.7, 1.0))
+                retry_delay_s = min(MAX_RETRY_DELAY_S, retry_delay_s * 2)
+                await self._reload_if_outcome_unknown(error)
 
-    async def _list_once(self) -> None:
+    async def _list_finished(self) -> None:
         self._drop_listed()
         results: list[ItemResult] = []
         for result in self._finished:
@@ -141,41 +152,44 @@
         write_id = new_write_id()
         tokens = sum(self._items[result.index].tokens for result in results)
         head = self.head.with_results(results, write_id, tokens)
-        self._listing[write_id] = results
+        self._unconfirmed_by_write_id[write_id] = results
         self._version = await self._context.repository.update_head(
-            head, self._version, results, self._saved
+            head, self._version, results, self._stored_progress_indexes
         )
-        self._note_listed(head)
+        self._apply_listed_head(head)
 
-    def _note_listed(self, head: JobHead) -> None:
+    def _apply_listed_head(self, head: JobHead) -> None:
         self.head = head
-        self._listing.clear()
+        self._unconfirmed_by_write_id.clear()
         self._drop_listed()
         self._log("results_listed", listed=head.listed, total=head.total, version=self._version)
 
     def _drop_listed(self) -> None:
-        """Forget results of items that are listed; each item is listed once, whoever ran it."""
+        """Drop finished results that the head already lists, so that each is listed only once."""
         self._finished = deque(r for r in self._finished if not self.head.is_listed(r.index))
 
-    async def _reload_after(self, problem: StoreError) -> None:
-        """Learn what became of a write whose answer was lost."""
-        if isinstance(problem, OutcomeUnknown):
+    async def _reload_if_outcome_unknown(self, error: StoreError) -> None:
+        """Reload the head to find out whether a write without a response took effect."""
+        if isinstance(error, OutcomeUnknown):
             try:
                 await self._reload()
             except StoreError:
                 return
 
     async def _reload(self) -> None:
-        """Read the head: a write of this process goes on from there, any other ends the run."""
+        """Load the head: continue from it if this process still owns the job, else stop.
+
+        If the load fails or the job has no row yet, the run continues unchanged.
+        """
         try:
-            found = await self._context.repository.load_head(self.head.job_id)
+            loaded = await self._context.repository.load_head(self.head.job_id)
         except StoreError:
-            await asyncio.sleep(RETRY_FIRST_S)
+            await asyncio.sleep(INITIAL_RETRY_DELAY_S)
             return
-        if found is None:
+        if loaded is None:
             self._stopped = self._version != ABSENT
             return
-        head, version = found
+        head, version = loaded
         if version == self._version:
             return
         if head.owner != self.head.owner or head.ended:
@@ -183,10 +197,10 @@
             self._stopped = True
             return
         self._version = version
-        self._note_listed(head)
+        self._apply_listed_head(head)
 
     async def _release(self) -> None:
-        """Give the job up with what its items have, so that another daemon goes on at once."""
+        """Save progress and clear the owner, so that another daemon can adopt the job at once."""
         await self._save()
         head = replace(self.head, owner="", write_id=new_write_id())
         await self._context.repository.update_head(head, self._version)
@@ -200,14 +214,14 @@
             progress.texts = list(saved.texts)
             progress.last_event_id = saved.last_event_id
             progress.saved_event_id = saved.last_event_id
-            progress.restored = True
+            progress.restored_from_store = True
             progress.failures = saved.failures
-            self._saved.add(saved.index)
+            self._stored_progress_indexes.add(saved.index)
 
-    async def _save_regularly(self) -> None:
-        """Keep what items have, so that a crash costs little."""
+    async def _save_periodically(self) -> None:
+        """Save progress periodically, so that a crash loses little work."""
         while not self._stopped:
-            await asyncio.sleep(SAVE_S * random.uniform(0.8, 1.2))
+            await asyncio.sleep(PROGRESS_SAVE_INTERVAL_S * random.uniform(0.8, 1.2))
             try:
                 await self._save()
             except StoreError:
@@ -226,9 +240,9 @@
             SavedProgress(p.index, p.last_event_id or 0, p.failures, list(p.texts)) for p in changed
         ]
         await self._context.repository.save_progress(self.head, self._version, saved)
-        for progress, item in zip(changed, saved, strict=True):
-            progress.saved_event_id = item.last_event_id
-            self._saved.add(item.index)
+        for progress, saved_progress in zip(changed, saved, strict=True):
+            progress.saved_event_id = saved_progress.last_event_id
+            self._stored_progress_indexes.add(saved_progress.index)
 
     # Items
 
@@ -244,26 +258,29 @@
             if self._draining:
                 break
             if not progress.preempted:
-                await asyncio.sleep(RETRY_FIRST_S * random.uniform(0.5, 1.5))
+                await asyncio.sleep(INITIAL_RETRY_DELAY_S * random.uniform(0.5, 1.5))
         self._changed.set()
 
     async def _try_item(self, progress: ItemProgress) -> ItemResult | None:
-        """Make one attempt; returns the item's end, or ``None`` if it must be tried again."""
+        """Wait for a slot and make one attempt.
+
+        Returns the final result, or ``None`` if the item must be retried.
+        """
         configuration = self._context.configuration()
         if configuration is None or self._draining:
             return None
         route = configuration.match(self.head.host, progress.item.target)
         if route is None:
-            return self._executor.given_up(progress, "route removed", "")
-        if self._expired(route):
-            return self._executor.given_up(progress, "retention over", route.name)
+            return self._executor.fail_item(progress, "route removed", "")
+        if self._retention_expired(route):
+            return self._executor.fail_item(progress, "retention over", route.name)
         if self._executor.blocked_for_s(progress):
-            await self._hold_back(progress)
+            await self._sleep_while_blocked(progress)
             return None
         placement = await self._wait_for_slot(route, progress)
         try:
             blocked = self._executor.blocked_for_s(progress) > 0
-            if self._draining or blocked or not self._surely_open():
+            if self._draining or blocked or not self._store_view_is_fresh():
                 return None
             if not self._executor.allows(progress, placement.worker):
                 return None
@@ -273,20 +290,20 @@
         finally:
             self._context.batch_scheduler.release(placement)
 
-    async def _hold_back(self, progress: ItemProgress) -> None:
-        """Let an item that crashes workers wait for a moment.
+    async def _sleep_while_blocked(self, progress: ItemProgress) -> None:
+        """Sleep one recheck interval for an item that is blocked because it crashes workers.
 
-        Nothing but its content is wrong with it, so it is neither failed nor listed before its
-        retention is over; the others of its job go on.
+        Only the item's content is at fault, so it is neither failed nor listed until its retention
+        ends, unless the block ends first. The job's other items continue.
         """
         task = asyncio.current_task()
         assert task is not None
-        if not progress.held_back:
-            progress.held_back = True
+        if not progress.block_logged:
+            progress.block_logged = True
             self._log("item_held_back", item=progress.item.item_id)
         self._waiting_tasks.add(task)
         try:
-            await asyncio.sleep(HELD_BACK_CHECK_S)
+            await asyncio.sleep(BLOCKED_RECHECK_INTERVAL_S)
         finally:
             self._waiting_tasks.discard(task)
 
@@ -303,32 +320,32 @@
             self._waiting_tasks.discard(task)
 
     def _regions(self, route: Route) -> Regions | None:
-        """Return where items on a route may run."""
+        """Return the regions in which this tenant's items on a route may run."""
         configuration = self._context.configuration()
         if configuration is None:
             return route.regions
         return configuration.regions_for(route, self.head.tenant)
 
-    def _surely_open(self) -> bool:
-        """Return whether an end of the job would have been seen."""
+    def _store_view_is_fresh(self) -> bool:
+        """Return whether the store view is so recent that an end of the job would be visible."""
         return self._context.store_age_s() <= self._context.max_store_age_s()
 
     def _urgency(self, route: Route, service: str, progress: ItemProgress) -> Urgency:
         age_s = (self._context.store_now_ms() - self.head.accepted_ms) / 1000
-        left_s = route.completion_target_s - age_s
+        time_to_target_s = route.completion_target_s - age_s
         now_s = asyncio.get_running_loop().time()
         average_s = self._context.batch_scheduler.durations.average_s(service)
-        run_s = max(0.0, average_s - progress.ran_s)
-        return Urgency(now_s + left_s, run_s, self._priority(route))
+        remaining_run_time_s = max(0.0, average_s - progress.run_time_s)
+        return Urgency(now_s + time_to_target_s, remaining_run_time_s, self._priority(route))
 
     def _priority(self, route: Route) -> int:
-        """Return the priority of the job's tenant, or that of its route."""
+        """Return the job tenant's effective priority, or the route's if no tenant is known."""
         configuration = self._context.configuration()
         tenants = configuration.tenants.by_name if configuration else {}
         tenant = tenants.get(self.head.tenant)
         return route.priority if tenant is None else tenant.effective_priority(route.priority)
 
-    def _expired(self, route: Route) -> bool:
+    def _retention_expired(self, route: Route) -> bool:
         age_s = (self._context.store_now_ms() - self.head.accepted_ms) / 1000
         return route.retention_s > 0 and age_s > route.retention_s
 
