--- a/mountstand/jobs/model.py
+++ b/mountstand/jobs/model.py
@@ -1,4 +1,4 @@
-"""Batch jobs, their items and results, as values."""
+"""Immutable value types for batch jobs, their items and results, and their stored encodings."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ItemState(Enum):
-    """How an item ended."""
+    """Final state of an item."""
 
     COMPLETED = "completed"
     FAILED = "failed"
@@ -21,7 +21,10 @@
 
 @dataclass(frozen=True)
 class JobItem:
-    """One item of a job: a request to be put to a worker."""
+    """One item of a job: an inference request to be sent to a worker.
+
+    ``tokens`` counts towards the limit of waiting tokens until the item is listed.
+    """
 
     item_id: str
     target: str
@@ -33,7 +36,11 @@
 
 @dataclass(frozen=True)
 class JobSubmission:
-    """A job as handed in; ``document`` is the caller's body, kept to be read again."""
+    """A job as submitted.
+
+    ``document`` is the unparsed request body. It is stored so that a daemon that adopts the job
+    can parse the items again.
+    """
 
     job_id: str
     host: str
@@ -41,17 +48,17 @@
     items: tuple[JobItem, ...]
     document: bytes
     tenant: str = ""
-    """The name of the tenant that handed it in, empty where callers need no key."""
+    """The tenant that submitted the job; empty where callers need no API key."""
 
     @property
     def tokens(self) -> int:
-        """The tokens of all items."""
+        """Total tokens of all items."""
         return sum(item.tokens for item in self.items)
 
 
 @dataclass(frozen=True)
 class ItemResult:
-    """The end of one item."""
+    """The outcome of one item; ``index`` is the item's position in the submission."""
 
     index: int
     item_id: str
@@ -61,12 +68,22 @@
 
 @dataclass(frozen=True)
 class JobHead:
-    """The row that decides everything about a job; each change of it is conditional.
-
-    ``owner`` is the process that runs the job, ``done`` the bits of the items that are listed,
-    ``listed`` how many these are, ``write_id`` names the write that made this version, and
-    ``accepted_ms`` is the store's clock at acceptance. ``waiting_tokens`` are those of the items
-    that are not listed, ``tenant`` the name of the tenant that the job belongs to.
+    """The authoritative row of a job, changed only by compare-and-set on its version.
+
+    An item is *listed* once its result is committed to the job's result list, in which
+    positions follow the order of those commits.
+
+    Attributes:
+        accepted_ms: Store clock, in milliseconds, when the job was accepted.
+        owner: Identity of the daemon process that runs the job; empty if no process owns it.
+        write_id: Unique id of the write that produced this version. After a write without a reply,
+            it tells the writer whether that write took effect.
+        listed: Number of items whose result is listed.
+        done: Bit set of the listed items, by their index in the submission.
+        ended: Whether a caller cancelled the job.
+        object_name: Object that holds the document; empty if the document is stored in rows.
+        waiting_tokens: Tokens of the items that are not listed yet.
+        tenant: Tenant that the job belongs to; empty if it was submitted without an API key.
     """
 
     job_id: str
@@ -85,17 +102,17 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether items remain to be run."""
+        """Whether the job is not cancelled and has items left to list."""
         return not self.ended and self.listed < self.total
 
     def is_listed(self, index: int) -> bool:
-        """Return whether the item at ``index`` of the submission is listed."""
+        """Return whether the result of the item at ``index`` of the submission is listed."""
         return bool(self.done >> index & 1)
 
     def with_results(self, results: list[ItemResult], write_id: str, tokens: int = 0) -> JobHead:
-        """Return the head after ``results`` are listed behind those there are.
+        """Return the head after ``results`` are appended to the result list.
 
-        ``tokens`` are those of the items that ended.
+        ``tokens`` is the number of tokens of the items that ``results`` belong to.
         """
         done = self.done
         for result in results:
@@ -109,7 +126,7 @@
         )
 
     def encode(self) -> bytes:
-        """Return the row's value."""
+        """Serialize the head as the value of its row."""
         return orjson.dumps(
             {
                 "host": self.host,
@@ -129,7 +146,10 @@
 
 
 def decode_head(job_id: str, value: bytes) -> JobHead:
-    """Return the head that a row's value holds."""
+    """Deserialize a head from the value of its row.
+
+    Rows written before ``waiting_tokens`` and ``tenant`` existed lack these fields.
+    """
     fields = orjson.loads(value)
     return JobHead(
         job_id=job_id,
@@ -150,7 +170,7 @@
 
 @dataclass(frozen=True)
 class StoredSubmission:
-    """A submission as an object holds it."""
+    """A submission as read back from the object store."""
 
     host: str
     path: str
@@ -160,7 +180,7 @@
 
 
 def encode_submission(submission: JobSubmission, accepted_ms: int) -> bytes:
-    """Return the object that holds a submission: one line of JSON, then the document."""
+    """Serialize a submission for the object store: one line of JSON, then the document."""
     fields = {
         "host": submission.host,
         "path": submission.path,
@@ -171,7 +191,7 @@
 
 
 def decode_submission(value: bytes) -> StoredSubmission:
-    """Return the submission that an object holds."""
+    """Deserialize a submission from the object store."""
     line, _, document = value.partition(b"\n")
     fields = orjson.loads(line)
     return StoredSubmission(
@@ -181,7 +201,11 @@
 
 @dataclass(frozen=True)
 class SavedProgress:
-    """The whole events of an item that has not ended, as they are kept for the next owner."""
+    """Checkpoint of an unfinished item, from which the next owner of the job resumes it.
+
+    ``texts`` holds the texts of the complete stream events up to ``last_event_id``. ``failures``
+    counts the failed attempts.
+    """
 
     index: int
     last_event_id: int
@@ -190,23 +214,23 @@
 
 
 def encode_progress(progress: SavedProgress) -> bytes:
-    """Return an item's progress as it is stored."""
+    """Serialize an item's progress for its row."""
     fields = [progress.index, progress.last_event_id, progress.failures, progress.texts]
     return zlib.compress(orjson.dumps(fields), 1)
 
 
 def decode_progress(value: bytes) -> SavedProgress:
-    """Return the progress that stored bytes hold."""
+    """Deserialize an item's progress from its row."""
     index, last_event_id, failures, texts = orjson.loads(zlib.decompress(value))
     return SavedProgress(index, last_event_id, failures, texts)
 
 
 def encode_result(result: ItemResult) -> bytes:
-    """Return a result as it is stored."""
+    """Serialize a result for its rows."""
     return orjson.dumps([result.index, result.item_id, result.state.value, result.text])
 
 
 def decode_result(value: bytes) -> ItemResult:
-    """Return the result that stored bytes hold."""
+    """Deserialize a result from the joined bytes of its rows."""
     index, item_id, state, text = orjson.loads(value)
     return ItemResult(index, item_id, ItemState(state), text)
--- a/mountstand/jobs/reading.py
+++ b/mountstand/jobs/reading.py
@@ -1,7 +1,7 @@
-"""Reads of batch jobs: pages of results, bodies of items, and jobs that have no head row yet.
+"""Reads pages of results and item bodies of batch jobs, including jobs without a head row.
 
-Every answer follows from the store, or from results that cannot change any more. A job is there
-only for callers of its own tenant.
+No page shows a result that is not committed in the store; listed results are immutable and may be
+cached. A job that belongs to a tenant is visible only to callers of that tenant.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 MAX_CACHED_RESULT_BYTES = 16 * 1024 * 1024
 MAX_CACHED_DOCUMENTS = 8
-"""Bounds of what is kept to spare reads of the store; everything kept is immutable."""
+"""Cache limits. Cached results and documents are immutable, so they never need invalidation."""
 
 ANY_TENANT = None
-"""The reader of a system whose callers need no keys: it sees every job."""
+"""The reader's tenant where callers need no API key; such a reader sees every job."""
 
 
 @dataclass(frozen=True)
 class ResultPage:
-    """Listed results of a job from one position on."""
+    """Consecutive results of a job, with the position at which the next page starts."""
 
     total: int
     next_position: int
@@ -36,56 +36,58 @@
 def is_visible_to_tenant(reader_tenant: str | None, head: JobHead) -> bool:
     """Return whether callers of the tenant ``reader_tenant`` may see a job.
 
-    Jobs that were taken before there were tenants, or from callers without a key, are everybody's.
+    Jobs submitted without an API key, or before tenants were introduced, have no tenant and are
+    visible to everybody.
     """
     return reader_tenant is ANY_TENANT or head.tenant in ("", reader_tenant)
 
 
 class JobReader:
-    """Answers reads of one daemon's callers.
+    """Serves the reads of one daemon's callers.
 
-    ``known`` returns the newest head of a job that the feed told, ``running`` the items of a job
-    that runs here, each ``None`` where there is none.
+    ``find_cached_head`` returns the newest head of a job that this daemon has seen.
+    ``find_running_job`` returns the head and items of a job that this daemon runs. Both return
+    ``None`` for other jobs.
     """
 
     def __init__(
         self,
         repository: JobRepository,
         parse_document: Callable[[bytes], tuple[JobItem, ...]],
-        known: Callable[[str], JobHead | None],
-        running: Callable[[str], tuple[JobHead, tuple[JobItem, ...]] | None],
+        find_cached_head: Callable[[str], JobHead | None],
+        find_running_job: Callable[[str], tuple[JobHead, tuple[JobItem, ...]] | None],
     ) -> None:
         self._repository = repository
         self._parse_document = parse_document
-        self._known = known
-        self._running = running
-        self._changed_by_job: dict[str, asyncio.Event] = {}
+        self._find_cached_head = find_cached_head
+        self._find_running_job = find_running_job
+        self._change_events_by_job_id: dict[str, asyncio.Event] = {}
         self._cache = ResultCache(MAX_CACHED_RESULT_BYTES)
-        self._documents: OrderedDict[str, tuple[JobItem, ...]] = OrderedDict()
+        self._items_by_job_id: OrderedDict[str, tuple[JobItem, ...]] = OrderedDict()
 
     def notify_change(self, job_id: str) -> None:
-        """Wake the readers that wait for a job's results."""
-        change_event = self._changed_by_job.pop(job_id, None)
+        """Wake the reads that wait for new results of a job."""
+        change_event = self._change_events_by_job_id.pop(job_id, None)
         if change_event is not None:
             change_event.set()
 
     async def page(
         self, job_id: str, after: int, wait_s: float, max_bytes: int, reader_tenant: str | None
     ) -> ResultPage | None:
-        """Return results from position ``after`` on; waits up to ``wait_s`` for the first.
+        """Return the results from position ``after`` on, waiting up to ``wait_s`` for the first.
 
-        Returns ``None`` if the store has no such job for ``reader_tenant``. Raises ``StoreError`` where
-        unsure.
+        Returns ``None`` if the job does not exist or is not visible to ``reader_tenant``. Raises
+        ``StoreError`` if the store cannot be read.
         """
-        cached = self._read_cached(job_id, after, max_bytes, reader_tenant)
+        cached = self._read_cached_page(job_id, after, max_bytes, reader_tenant)
         if cached is not None:
             return cached
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + wait_s
-        change_event = self._changed_by_job.setdefault(job_id, asyncio.Event())
+        change_event = self._change_events_by_job_id.setdefault(job_id, asyncio.Event())
         found = await self._repository.load_head(job_id)
         if found is None:
-            return await self._page_of_accepted(job_id, after, reader_tenant)
+            return await self._page_without_head_row(job_id, after, reader_tenant)
         head = found[0]
         if not is_visible_to_tenant(reader_tenant, head):
             return None
@@ -99,46 +101,50 @@
             if found is None:
                 return None
             head = found[0]
-        return await self._page(head, after, max_bytes)
+        return await self._read_page(head, after, max_bytes)
 
     async def item_body(self, job_id: str, item_id: str, reader_tenant: str | None) -> bytes | None:
-        """Return the body of an item, or ``None`` where the store has none for ``reader_tenant``."""
-        items = await self._items_of(job_id, reader_tenant)
+        """Return an item's body, or ``None`` if it does not exist or its job is not visible."""
+        items = await self._load_visible_items(job_id, reader_tenant)
         return next((item.body for item in items if item.item_id == item_id), None)
 
     async def load_or_build_head(self, job_id: str) -> tuple[JobHead, int] | None:
-        """Return a job's head, also that of a job kept as an object without a head row."""
+        """Return a job's head and its version, or ``None`` if there is no such job.
+
+        For a job that is stored only as an object, the head is built from the object and the
+        version is ``ABSENT``.
+        """
         found = await self._repository.load_head(job_id)
         if found is not None:
             return found
-        accepted = await self._repository.load_object_submission(job_id)
-        if accepted is None:
+        stored_object = await self._repository.load_object_submission(job_id)
+        if stored_object is None:
             return None
-        name, kept = accepted
-        items = self._parse_document(kept.document)
+        name, stored = stored_object
+        items = self._parse_document(stored.document)
         head = JobHead(
             job_id=job_id,
-            host=kept.host,
-            path=kept.path,
+            host=stored.host,
+            path=stored.path,
             total=len(items),
             waiting_tokens=sum(item.tokens for item in items),
-            accepted_ms=kept.accepted_ms,
+            accepted_ms=stored.accepted_ms,
             owner="",
             write_id=new_write_id(),
             object_name=name,
-            tenant=kept.tenant,
+            tenant=stored.tenant,
         )
         return head, ABSENT
 
     async def load_items(self, head: JobHead) -> tuple[JobItem, ...] | None:
-        """Return the items of a job, or ``None`` where its document is dropped."""
-        document = await self._repository.document(head)
+        """Return the items of a job, or ``None`` if its document has been deleted."""
+        document = await self._repository.load_document(head)
         return self._parse_document(document) if document is not None else None
 
-    def _read_cached(
+    def _read_cached_page(
         self, job_id: str, after: int, max_bytes: int, reader_tenant: str | None
     ) -> ResultPage | None:
-        head = self._known(job_id)
+        head = self._find_cached_head(job_id)
         if head is None or not is_visible_to_tenant(reader_tenant, head):
             return None
         results = self._cache.contiguous_from(job_id, after, max_bytes)
@@ -146,19 +152,26 @@
             return None
         return ResultPage(head.total, after + len(results), results)
 
-    async def _page(self, head: JobHead, after: int, max_bytes: int) -> ResultPage:
+    async def _read_page(self, head: JobHead, after: int, max_bytes: int) -> ResultPage:
         if head.listed <= after:
             return ResultPage(head.total, after, [])
-        listed = await self._repository.results(head, after, max_bytes)
-        for position, result in listed:
+        positioned_results = await self._repository.load_results(head, after, max_bytes)
+        for position, result in positioned_results:
             self._cache.put(head.job_id, position, result)
-        return ResultPage(head.total, after + len(listed), [result for _, result in listed])
+        return ResultPage(
+            head.total,
+            after + len(positioned_results),
+            [result for _, result in positioned_results],
+        )
 
-    async def _page_of_accepted(
+    async def _page_without_head_row(
         self, job_id: str, after: int, reader_tenant: str | None
     ) -> ResultPage | None:
-        """Return the empty page of a job that has no head row yet."""
-        running = self._running(job_id)
+        """Return a page of a job whose head row was not found.
+
+        The page has no results, unless the row has appeared since; then it has at most one.
+        """
+        running = self._find_running_job(job_id)
         if running is not None:
             head = running[0]
             return (
@@ -169,23 +182,25 @@
         found = await self.load_or_build_head(job_id)
         if found is None or not is_visible_to_tenant(reader_tenant, found[0]):
             return None
-        return await self._page(found[0], after, 1)
+        return await self._read_page(found[0], after, 1)
 
-    async def _items_of(self, job_id: str, reader_tenant: str | None) -> tuple[JobItem, ...]:
-        running = self._running(job_id)
+    async def _load_visible_items(
+        self, job_id: str, reader_tenant: str | None
+    ) -> tuple[JobItem, ...]:
+        running = self._find_running_job(job_id)
         if running is not None:
             return running[1] if is_visible_to_tenant(reader_tenant, running[0]) else ()
-        known = self._known(job_id)
-        cached = self._documents.get(job_id)
-        if cached is not None and known is not None:
-            return cached if is_visible_to_tenant(reader_tenant, known) else ()
+        cached_head = self._find_cached_head(job_id)
+        cached = self._items_by_job_id.get(job_id)
+        if cached is not None and cached_head is not None:
+            return cached if is_visible_to_tenant(reader_tenant, cached_head) else ()
         found = await self.load_or_build_head(job_id)
         if found is None or not is_visible_to_tenant(reader_tenant, found[0]):
             return ()
         items = await self.load_items(found[0])
         if items is None:
             return ()
-        self._documents[job_id] = items
-        while len(self._documents) > MAX_CACHED_DOCUMENTS:
-            self._documents.popitem(last=False)
+        self._items_by_job_id[job_id] = items
+        while len(self._items_by_job_id) > MAX_CACHED_DOCUMENTS:
+            self._items_by_job_id.popitem(last=False)
         return items
--- a/mountstand/jobs/service.py
+++ b/mountstand/jobs/service.py
@@ -1,7 +1,8 @@
-"""Batch jobs of one daemon: acceptance, ends, and which jobs this daemon runs.
+"""Accepts, runs, adopts and cancels batch jobs on one daemon.
 
-Every answer follows from the store, or from results that cannot change any more. Which daemon runs
-a job is decided by a conditional write of its head; liveness of owners only decides who tries.
+No response shows a result that is not committed in the store. A conditional write of the head
+decides which daemon owns a job. The liveness of owners, as seen by each daemon, only determines
+which daemons attempt that write.
 """
 
 from __future__ import annotations
@@ -23,21 +24,31 @@
 from mountstand.store.watch import TableChange
 
 ORPHAN_SCAN_INTERVAL_S = 0.5
-"""How often a daemon looks for jobs without an owner."""
+"""Interval at which a daemon looks for jobs without a live owner."""
 
 ADOPTION_DELAY_PER_RANK_S = 1.0
-"""A daemon waits so much longer per better-ranked daemon before it adopts a job."""
+"""Delay before adopting a job, per daemon ranked before this one for it.
+
+It keeps daemons from competing for the same job.
+"""
 
 OBJECT_SCAN_INTERVAL_S = 3.0
 OBJECT_SCAN_RANK_KEY = "object scan"
-"""How often the daemon ranked first for the key looks for jobs that are kept as objects only."""
+"""Interval and ranking key of the scan for jobs that are stored only as objects.
+
+Only the daemon that ranks first for the key scans.
+"""
 
 DRAIN_POLL_INTERVAL_S = 0.05
-"""How often a planned stop looks whether the last job is handed on."""
+"""Interval at which :meth:`JobService.drain` checks whether all runners have stopped."""
 
 
 class JobService:
-    """The batch jobs of one daemon."""
+    """Manages the batch jobs of one daemon.
+
+    ``retention_s`` returns the age since acceptance, in seconds, at which a job that is not open
+    is deleted.
+    """
 
     def __init__(
         self,
@@ -49,31 +60,39 @@
         self._context = context
         self._repository: JobRepository = context.repository
         self._owners = owners
-        self._keep_s = retention_s
+        self._retention_s = retention_s
         self._heads: dict[str, tuple[JobHead, int]] = {}
         self._runners: dict[str, JobRunner] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._adopting: set[str] = set()
-        self._orphan_since_s: dict[str, float] = {}
+        self._adopting_job_ids: set[str] = set()
+        self._orphaned_since_s_by_job_id: dict[str, float] = {}
         self._draining = False
         self._next_object_scan_s = 0.0
-        self._without_head: set[str] = set()
-        self._reads = JobReader(self._repository, parse_document, self._known, self._running)
+        self._previous_scan_job_ids: set[str] = set()
+        self._job_reader = JobReader(
+            self._repository, parse_document, self._cached_head, self._running_job
+        )
         self._quota = TokenQuota(
             context.repository.rows,
             lambda: [head for head, _ in self._heads.values()],
             context.configuration,
         )
 
-    # Callers' calls
+    # Operations for callers
 
     async def submit(
         self, submission: JobSubmission, route: Route, deadline_s: float
     ) -> SubmitOutcome:
-        """Take a job. Once a write may have reached the store, it is never called refused."""
-        known = self._known(submission.job_id)
-        if known is not None:
-            return _outcome_of_known(submission, known)
+        """Accept a job if it fits the tenant's quota of waiting tokens on the route, and run it.
+
+        Returns ``REFUSED`` only if no write of the job can have taken effect, and
+        ``OUTCOME_UNKNOWN`` if one may have or if the quota could not be checked. Returns
+        ``OVER_QUOTA`` for a new job that exceeds the quota. For an existing job, returns
+        ``ACCEPTED`` if the submitter's tenant may see it, otherwise ``ID_TAKEN``.
+        """
+        existing = self._cached_head(submission.job_id)
+        if existing is not None:
+            return _outcome_for_existing(submission, existing)
         try:
             head = self._new_head(submission)
         except StoreRefused:
@@ -82,7 +101,7 @@
             async with asyncio.timeout_at(deadline_s):
                 fits = await self._quota.reserve(route, submission, head.accepted_ms)
                 if not fits:
-                    return await self._refuse_unless_known(submission)
+                    return await self._refuse_unless_already_stored(submission)
             return await self._accept(submission, head, route, deadline_s)
         except (StoreError, TimeoutError) as error:
             self._context.log.event(
@@ -92,30 +111,32 @@
         finally:
             self._quota.release(submission.job_id)
 
-    async def _refuse_unless_known(self, submission: JobSubmission) -> SubmitOutcome:
-        """Refuse a job that does not fit, unless another daemon took it: it is sent again then."""
-        found = await self._reads.load_or_build_head(submission.job_id)
+    async def _refuse_unless_already_stored(self, submission: JobSubmission) -> SubmitOutcome:
+        """Refuse a job that exceeds the quota, unless another daemon has already stored it."""
+        found = await self._job_reader.load_or_build_head(submission.job_id)
         return (
-            SubmitOutcome.OVER_QUOTA if found is None else _outcome_of_known(submission, found[0])
+            SubmitOutcome.OVER_QUOTA
+            if found is None
+            else _outcome_for_existing(submission, found[0])
         )
 
     async def _accept(
         self, submission: JobSubmission, head: JobHead, route: Route, deadline_s: float
     ) -> SubmitOutcome:
-        was_there = False
+        already_existed = False
 
-        def begin(stored: StoredJob) -> None:
-            nonlocal was_there
-            was_there = stored.begin is None
+        def start_if_new(stored: StoredJob) -> None:
+            nonlocal already_existed
+            already_existed = stored.begin is None
             if stored.begin is not None:
-                self._begin(*stored.begin, submission.items)
+                self._start_runner(*stored.begin, submission.items)
 
-        copies = 0 if self._is_bound(route, submission.tenant) else MAX_JOB_OBJECT_COPIES
+        copies = 0 if self._is_region_bound(route, submission.tenant) else MAX_JOB_OBJECT_COPIES
         acceptance = JobAcceptance(self._repository, submission, head, copies)
-        outcome = await acceptance.run(route.target_latency_s, deadline_s, begin)
-        if was_there and submission.tenant:
-            found = await self._reads.load_or_build_head(submission.job_id)
-            return outcome if found is None else _outcome_of_known(submission, found[0])
+        outcome = await acceptance.run(route.target_latency_s, deadline_s, start_if_new)
+        if already_existed and submission.tenant:
+            found = await self._job_reader.load_or_build_head(submission.job_id)
+            return outcome if found is None else _outcome_for_existing(submission, found[0])
         return outcome
 
     async def read(
@@ -127,37 +148,43 @@
         reader_tenant: str | None = ANY_TENANT,
     ) -> ResultPage | None:
         """Return a page of results; see :meth:`JobReader.page`."""
-        return await self._reads.page(job_id, after, wait_s, max_bytes, reader_tenant)
+        return await self._job_reader.page(job_id, after, wait_s, max_bytes, reader_tenant)
 
     async def item_body(
         self, job_id: str, item_id: str, reader_tenant: str | None = ANY_TENANT
     ) -> bytes | None:
         """Return the body of an item; see :meth:`JobReader.item_body`."""
-        return await self._reads.item_body(job_id, item_id, reader_tenant)
+        return await self._job_reader.item_body(job_id, item_id, reader_tenant)
 
     async def cancel(self, job_id: str, reader_tenant: str | None = ANY_TENANT) -> bool:
-        """End a job; returns whether ``reader_tenant`` has one. Raises ``StoreError``."""
+        """Cancel a job and return whether it exists and is visible to ``reader_tenant``.
+
+        Results that are already listed stay readable. Cancelling a cancelled job succeeds. Raises
+        ``StoreError`` if the store cannot be read or written.
+        """
         while True:
-            found = await self._reads.load_or_build_head(job_id)
+            found = await self._job_reader.load_or_build_head(job_id)
             if found is None or not is_visible_to_tenant(reader_tenant, found[0]):
                 return False
             head, version = found
             if not head.ended:
-                ended = replace(head, ended=True, write_id=new_write_id())
+                cancelled = replace(head, ended=True, write_id=new_write_id())
                 try:
-                    version = await self._repository.update_head(ended, version)
+                    version = await self._repository.update_head(cancelled, version)
                 except Conflict:
                     continue
-                self._apply_head(ended, version)
+                self._apply_head(cancelled, version)
             return True
 
-    # The feed
+    # Change feed of the head table
 
     def apply(self, change: TableChange) -> None:
-        """Take changed heads, or with a complete change all of them."""
+        """Apply changed heads; a complete change replaces all cached heads."""
         if change.complete:
-            listed = {row.key.key for row in change.rows}
-            for job_id in [known for known in self._heads if known not in listed]:
+            present_job_ids = {row.key.key for row in change.rows}
+            for job_id in [
+                cached_id for cached_id in self._heads if cached_id not in present_job_ids
+            ]:
                 del self._heads[job_id]
         for row in change.rows:
             if row.value is None:
@@ -166,48 +193,48 @@
             self._apply_head(decode_head(row.key.key, row.value), row.version)
 
     def _apply_head(self, head: JobHead, version: int) -> None:
-        if version <= self._latest_version(head.job_id):
+        if version <= self._cached_version(head.job_id):
             return
         self._heads[head.job_id] = (head, version)
         runner = self._runners.get(head.job_id)
         if runner is not None:
             runner.handle_head(head, version)
-        self._reads.notify_change(head.job_id)
+        self._job_reader.notify_change(head.job_id)
         if head.is_open and not head.owner:
-            self._consider(head, version)
+            self._adopt_if_orphaned(head, version)
 
-    def _known(self, job_id: str) -> JobHead | None:
-        known = self._heads.get(job_id)
-        return known[0] if known is not None else None
+    def _cached_head(self, job_id: str) -> JobHead | None:
+        cached = self._heads.get(job_id)
+        return cached[0] if cached is not None else None
 
-    def _running(self, job_id: str) -> tuple[JobHead, tuple[JobItem, ...]] | None:
+    def _running_job(self, job_id: str) -> tuple[JobHead, tuple[JobItem, ...]] | None:
         runner = self._runners.get(job_id)
         return (runner.head, runner.items) if runner is not None else None
 
-    def _latest_version(self, job_id: str) -> int:
-        known = self._heads.get(job_id)
-        return known[1] if known is not None else 0
+    def _cached_version(self, job_id: str) -> int:
+        cached = self._heads.get(job_id)
+        return cached[1] if cached is not None else 0
 
     # Ownership
 
     async def run(self) -> None:
-        """Adopt jobs whose owner is gone, until cancelled."""
+        """Adopt jobs without a live owner and delete expired jobs, until cancelled."""
         while True:
             await asyncio.sleep(ORPHAN_SCAN_INTERVAL_S)
             for head, version in list(self._heads.values()):
                 if head.is_open:
-                    self._consider(head, version)
+                    self._adopt_if_orphaned(head, version)
                 else:
-                    self._orphan_since_s.pop(head.job_id, None)
-                    await self._drop_old(head, version)
-            await self._adopt_kept_objects()
+                    self._orphaned_since_s_by_job_id.pop(head.job_id, None)
+                    await self._delete_if_expired(head, version)
+            await self._adopt_orphaned_objects()
             self._context.metrics.jobs_owned(len(self._runners))
 
-    async def _adopt_kept_objects(self) -> None:
-        """Give a head row to jobs that are kept as objects and whose daemon is gone.
+    async def _adopt_orphaned_objects(self) -> None:
+        """Adopt jobs that are stored only as objects and whose daemon has gone.
 
-        One daemon looks at a time. A daemon that accepted a job writes its head row itself as soon
-        as the store takes it, long before the second look.
+        A live daemon that accepted such a job writes the head row as soon as the store accepts
+        writes. A job is therefore adopted only if two consecutive scans find it without a head row.
         """
         now_s = asyncio.get_running_loop().time()
         if self._draining or now_s < self._next_object_scan_s:
@@ -216,26 +243,28 @@
         if self._owners.rank(OBJECT_SCAN_RANK_KEY):
             return
         try:
-            without_head = [
+            job_ids_without_head = [
                 job_id
                 for job_id in await self._repository.list_object_job_ids()
                 if job_id not in self._heads and await self._repository.load_head(job_id) is None
             ]
-            confirmed_job_ids = [job_id for job_id in without_head if job_id in self._without_head]
-            self._without_head = set(without_head)
+            confirmed_job_ids = [
+                job_id for job_id in job_ids_without_head if job_id in self._previous_scan_job_ids
+            ]
+            self._previous_scan_job_ids = set(job_ids_without_head)
             for job_id in confirmed_job_ids:
-                found = await self._reads.load_or_build_head(job_id)
+                found = await self._job_reader.load_or_build_head(job_id)
                 if found is not None:
                     await self._adopt(*found)
         except StoreError:
             return
 
-    def _consider(self, head: JobHead, version: int) -> None:
+    def _adopt_if_orphaned(self, head: JobHead, version: int) -> None:
         job_id = head.job_id
-        if self._draining or job_id in self._runners or job_id in self._adopting:
+        if self._draining or job_id in self._runners or job_id in self._adopting_job_ids:
             return
         if head.owner and head.owner != self._owners.own_token and self._owners.is_live(head.owner):
-            self._orphan_since_s.pop(job_id, None)
+            self._orphaned_since_s_by_job_id.pop(job_id, None)
             return
         configuration = self._context.configuration()
         if configuration is None:
@@ -244,30 +273,30 @@
         if not self._owners.may_own(regions):
             return
         now_s = asyncio.get_running_loop().time()
-        orphaned_since_s = self._orphan_since_s.setdefault(job_id, now_s)
+        orphaned_since_s = self._orphaned_since_s_by_job_id.setdefault(job_id, now_s)
         if (
             now_s - orphaned_since_s
             < self._owners.rank(job_id, regions) * ADOPTION_DELAY_PER_RANK_S
         ):
             return
-        self._adopting.add(job_id)
+        self._adopting_job_ids.add(job_id)
         self._spawn(self._adopt(head, version))
 
     async def _adopt(self, head: JobHead, version: int) -> None:
         adopted = replace(head, owner=self._owners.own_token, write_id=new_write_id())
         try:
-            items = await self._reads.load_items(head)
+            items = await self._job_reader.load_items(head)
             if items is None:
                 return
             version = await self._repository.update_head(adopted, version)
-            saved = await self._repository.progress(adopted)
+            saved = await self._repository.load_progress(adopted)
         except StoreError as error:
             self._context.log.event(
                 "adoption_failed", job=head.job_id, version=version, cause=type(error).__name__
             )
             return
         finally:
-            self._adopting.discard(head.job_id)
+            self._adopting_job_ids.discard(head.job_id)
         self._context.log.event(
             "job_adopted",
             job=head.job_id,
@@ -277,22 +306,25 @@
             items_with_progress=len(saved),
             version=version,
         )
-        self._begin(adopted, version, items, saved)
+        self._start_runner(adopted, version, items, saved)
 
-    def _begin(
+    def _start_runner(
         self,
         head: JobHead,
         version: int,
         items: tuple[JobItem, ...],
         saved: Iterable[SavedProgress] = (),
     ) -> None:
-        """Run a job here, unless it is being run here already."""
-        self._orphan_since_s.pop(head.job_id, None)
+        """Start a runner for a job, unless one exists or a newer head forbids it.
+
+        A newer head forbids it if it is not open or has another owner.
+        """
+        self._orphaned_since_s_by_job_id.pop(head.job_id, None)
         if head.job_id in self._runners:
             return
-        known = self._heads.get(head.job_id)
-        if known is not None and known[1] > version:
-            head, version = known
+        cached = self._heads.get(head.job_id)
+        if cached is not None and cached[1] > version:
+            head, version = cached
             if not head.is_open or head.owner != self._owners.own_token:
                 return
         self._heads[head.job_id] = (head, version)
@@ -310,19 +342,20 @@
                 del self._runners[runner.head.job_id]
 
     async def drain(self) -> None:
-        """Start no more items, and wait until every job here is finished or released."""
+        """Start no more items, and wait until every job run here is finished or released."""
         self._draining = True
         for runner in list(self._runners.values()):
             runner.drain()
         while self._runners:
             await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
 
-    # Small parts
+    # Helpers
 
-    def _is_bound(self, route: Route, tenant: str) -> bool:
-        """Return whether a job may be served in some regions alone.
+    def _is_region_bound(self, route: Route, tenant: str) -> bool:
+        """Return whether a job may be served only in some regions.
 
-        It is not kept as an object: whoever looks for such objects reads all of them.
+        Such a job has no fallback objects, because the daemon that scans for objects reads all
+        of them, whatever its region. Without a configuration, every job counts as region-bound.
         """
         configuration = self._context.configuration()
         return configuration is None or configuration.regions_for(route, tenant) is not None
@@ -340,11 +373,15 @@
             tenant=submission.tenant,
         )
 
-    async def _drop_old(self, head: JobHead, version: int) -> None:
-        """Remove a job that nobody may ask for any more."""
+    async def _delete_if_expired(self, head: JobHead, version: int) -> None:
+        """Delete a job past its retention time, if this daemon ranks first for it.
+
+        Callers may no longer ask for such a job. If the store fails or its clock is unknown, a
+        later scan tries again.
+        """
         try:
             age_s = (self._context.store_now_ms() - head.accepted_ms) / 1000
-            if age_s < self._keep_s(head) or self._owners.rank(head.job_id):
+            if age_s < self._retention_s(head) or self._owners.rank(head.job_id):
                 return
             await self._repository.delete(head, version)
             self._context.log.event(
@@ -359,8 +396,12 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def _outcome_of_known(submission: JobSubmission, known: JobHead) -> SubmitOutcome:
-    """Return the answer to a job that is there already: sent again, or another tenant's."""
-    if is_visible_to_tenant(submission.tenant or ANY_TENANT, known):
+def _outcome_for_existing(submission: JobSubmission, existing: JobHead) -> SubmitOutcome:
+    """Return the outcome of submitting a job whose id exists already.
+
+    The submission is a retry if its tenant may see the existing job; otherwise the id is taken by
+    another tenant.
+    """
+    if is_visible_to_tenant(submission.tenant or ANY_TENANT, existing):
         return SubmitOutcome.ACCEPTED
     return SubmitOutcome.ID_TAKEN
--- a/tests/jobs/test_jobs.py
+++ b/tests/jobs/test_jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs under faults: accepted once, listed once, whole, resumed, ended, handed on."""
+"""Batch jobs under faults: acceptance, exactly-once listing, resumption, cancellation, adoption."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def submission(job_id: str = "job1", items: int = 3, tokens: int = 0) -> JobSubmission:
-    """Return a job of small items, each of ``tokens``."""
+    """Return a job of small items with ``tokens`` tokens each."""
     entries = [
         {
             "id": f"{job_id}-i{n}",
@@ -46,7 +46,7 @@
 
 
 class Daemon:
-    """The batch part of one daemon before a shared store."""
+    """The job service of one daemon on a store shared with others."""
 
     def __init__(self, name: str, store: MemoryRowStore, fleet: Fleet, live: set[str]) -> None:
         self.name = name
@@ -80,13 +80,13 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     def store_now_ms(self) -> int:
-        """Return the store's clock, if this daemon knows it."""
+        """Return the store's clock, or raise ``StoreRefused`` if this daemon does not know it."""
         if self.now_ms is None:
-            raise StoreRefused("no clock")
+            raise StoreRefused("store clock unknown")
         return self.now_ms
 
     def start(self) -> Daemon:
-        """Follow the store and look for jobs."""
+        """Start watching the head table and adopting jobs."""
         self.live.add(self.name)
         self.tasks = [
             asyncio.create_task(self.watcher.run()),
@@ -95,18 +95,18 @@
         return self
 
     def kill(self) -> None:
-        """End without a word."""
+        """Stop abruptly, without releasing any job."""
         self.live.discard(self.name)
         for task in [*self.tasks, *self.jobs._tasks]:
             task.cancel()
 
-    async def submit(self, job: JobSubmission, time_s: float = 2.0) -> SubmitOutcome:
-        """Hand a job in."""
-        deadline_s = asyncio.get_running_loop().time() + time_s
+    async def submit(self, job: JobSubmission, timeout_s: float = 2.0) -> SubmitOutcome:
+        """Submit a job with a deadline ``timeout_s`` from now."""
+        deadline_s = asyncio.get_running_loop().time() + timeout_s
         return await self.jobs.submit(job, self.route, deadline_s)
 
     async def results(self, job_id: str = "job1") -> list[tuple[str, str, str]]:
-        """Read every listed result: id, state and text by position."""
+        """Read the id, state and text of every listed result, in order of position."""
         found: list[tuple[str, str, str]] = []
         while True:
             page = await self.jobs.read(job_id, len(found), 0.0, 1_000_000)
@@ -126,12 +126,12 @@
             if len(found) >= count:
                 return found
             await asyncio.sleep(0.02)
-        raise AssertionError(f"{len(found)} of {count} results")
+        raise AssertionError(f"timed out with {len(found)} of {count} results listed")
 
 
-class Jobs(TestCase):
+class JobTestCase(TestCase):
     def run_scenario(self, work, *scripts: tuple[Answer, ...], slots: int = 8) -> None:  # type: ignore[no-untyped-def]
-        """Run ``work`` with a store, a fleet of stand-in workers, and grants every 20 ms."""
+        """Run ``work`` with a store, stand-in workers, and a scheduler that ticks every 20 ms."""
 
         async def scenario() -> None:
             workers = [StandInWorker(f"w{n}", *script) for n, script in enumerate(scripts)]
@@ -141,13 +141,13 @@
                 self.fleet = fleet
                 self.store = MemoryRowStore()
                 self.live: set[str] = set()
-                ticking = asyncio.create_task(self._tick(fleet))
+                ticker = asyncio.create_task(self._tick_scheduler(fleet))
                 await work()
-                ticking.cancel()
+                ticker.cancel()
 
         run(scenario())
 
-    async def _tick(self, fleet: Fleet) -> None:
+    async def _tick_scheduler(self, fleet: Fleet) -> None:
         while True:
             fleet.batch_scheduler.tick(asyncio.get_running_loop().time())
             await asyncio.sleep(0.02)
@@ -156,12 +156,12 @@
         return Daemon(name, self.store, self.fleet, self.live).start()
 
     def assert_all_completed(self, found: list[tuple[str, str, str]], items: int = 3) -> None:
-        """Check that every item is listed once, with its whole text."""
+        """Check that every item is listed exactly once, with its complete text."""
         self.assertEqual(sorted(f"job1-i{n}" for n in range(items)), sorted(r[0] for r in found))
         self.assertEqual({("completed", TEXT)}, {(r[1], r[2]) for r in found})
 
 
-class Running(Jobs):
+class RunningTest(JobTestCase):
     def test_job_is_run_and_read_from_any_position(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
@@ -177,31 +177,36 @@
 
         self.run_scenario(work, (stream(4),))
 
-    def test_a_job_over_the_bound_of_its_route_is_refused_until_items_have_ended(self) -> None:
+    def test_job_over_the_quota_of_its_route_is_refused_until_items_finish(self) -> None:
         async def work() -> None:
-            bounded = replace(BATCH, max_waiting_tokens=700)
+            limited_route = replace(BATCH, max_waiting_tokens=700)
             first, second = self.daemon("d1"), self.daemon("d2")
             for daemon in (first, second):
-                daemon.route = bounded
-                daemon.configuration = configuration(bounded)
-            held = self.fleet.queue.demand.peers_by_service
-            held["llm"] = WaitingCounts(1)
+                daemon.route = limited_route
+                daemon.configuration = configuration(limited_route)
+            # Demand reported by peers keeps the batch items waiting.
+            peer_demand = self.fleet.queue.demand.peers_by_service
+            peer_demand["llm"] = WaitingCounts(1)
             accepted = await first.submit(submission(tokens=200))
             self.assertEqual(SubmitOutcome.ACCEPTED, accepted)
-            more = submission("job2", tokens=200)
-            await eventually(lambda: second.jobs._heads, "the second daemon sees the job")
-            self.assertEqual(SubmitOutcome.OVER_QUOTA, await first.submit(more))
-            self.assertEqual(SubmitOutcome.OVER_QUOTA, await second.submit(more))
+            second_job = submission("job2", tokens=200)
+            await eventually(lambda: second.jobs._heads, "second daemon sees the job")
+            self.assertEqual(SubmitOutcome.OVER_QUOTA, await first.submit(second_job))
+            self.assertEqual(SubmitOutcome.OVER_QUOTA, await second.submit(second_job))
             second.jobs._heads.clear()
-            again = await second.submit(submission(tokens=200))
-            self.assertEqual(SubmitOutcome.ACCEPTED, again, "it is there already")
-            held.clear()
+            resubmitted = await second.submit(submission(tokens=200))
+            self.assertEqual(
+                SubmitOutcome.ACCEPTED,
+                resubmitted,
+                "resubmission of an accepted job must be accepted",
+            )
+            peer_demand.clear()
             await first.wait_for_results(3)
             await eventually(
                 lambda: not any(head.is_open for head, _ in first.jobs._heads.values()),
-                "the feed tells the daemon that the job is done",
+                "first daemon sees that the job is complete",
             )
-            self.assertEqual(SubmitOutcome.ACCEPTED, await first.submit(more))
+            self.assertEqual(SubmitOutcome.ACCEPTED, await first.submit(second_job))
 
         self.run_scenario(work, (stream(4),))
 
@@ -218,50 +223,50 @@
 
         self.run_scenario(work, (answer,))
 
-    def test_cut_stream_goes_on_after_its_last_whole_event(self) -> None:
+    def test_interrupted_stream_resumes_after_its_last_complete_event(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             await daemon.submit(submission(items=1))
             self.assert_all_completed(await daemon.wait_for_results(1), 1)
-            asked = [received.resume_after for received in self.fleet.workers[0].received]
-            self.assertEqual([0, 2], asked)
+            resume_positions = [
+                received.resume_after for received in self.fleet.workers[0].received
+            ]
+            self.assertEqual([0, 2], resume_positions)
 
         self.run_scenario(work, (stream(4, cut_after=2), stream(4)))
 
-    def test_undoable_and_failing_items_end_after_exactly_what_is_due(self) -> None:
-        for name, script, runs in (
-            ("422 at once", whole(b"", "422 Unprocessable"), 1),
+    def test_failing_items_end_after_the_expected_number_of_attempts(self) -> None:
+        for name, script, attempts in (
+            ("422 after one attempt", whole(b"", "422 Unprocessable"), 1),
             ("500 after max_attempts", INTERNAL_SERVER_ERROR, 3),
         ):
             with self.subTest(name):
 
-                async def work(runs: int = runs) -> None:
+                async def work(attempts: int = attempts) -> None:
                     daemon = self.daemon()
                     await daemon.submit(submission(items=1))
                     found = await daemon.wait_for_results(1)
-                    self.assertEqual(
-                        [("job1-i0", ItemState.INTERNAL_SERVER_ERROR.value, "")], found
-                    )
-                    self.assertEqual(runs, len(self.fleet.workers[0].received))
+                    self.assertEqual([("job1-i0", ItemState.FAILED.value, "")], found)
+                    self.assertEqual(attempts, len(self.fleet.workers[0].received))
 
                 self.run_scenario(work, (script,))
 
-    def test_resets_and_refusals_use_up_no_attempts(self) -> None:
-        full = whole(b"", "503 Service Unavailable", "Not-Run: 1")
+    def test_resets_and_refusals_do_not_count_as_attempts(self) -> None:
+        worker_full = whole(b"", "503 Service Unavailable", "Not-Run: 1")
 
         async def work() -> None:
             daemon = self.daemon()
             await daemon.submit(submission(items=1))
             self.assert_all_completed(await daemon.wait_for_results(1), 1)
 
-        self.run_scenario(work, (reset, full, reset, reset, full, stream(4)))
+        self.run_scenario(work, (reset, worker_full, reset, reset, worker_full, stream(4)))
 
-    def test_preempted_item_goes_on_later(self) -> None:
+    def test_preempted_item_resumes_later(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             await daemon.submit(submission(items=1))
             worker = self.fleet.workers[0]
-            await eventually(lambda: worker.received, "the item runs")
+            await eventually(lambda: worker.received, "item starts")
             await asyncio.sleep(0.25)
             placement = self.fleet.batch_scheduler._placements_by_worker_id["w0"][0]
             placement.preempt()
@@ -271,11 +276,11 @@
         self.run_scenario(work, (stream(4, gap_s=0.1),))
 
 
-class Store(Jobs):
+class StoreFaultTest(JobTestCase):
     def set_fault(self, fault: Callable[[str], str]) -> None:
         self.store.fault = fault
 
-    def test_lost_answers_of_every_second_write_list_nothing_twice(self) -> None:
+    def test_no_item_is_listed_twice_when_every_second_write_loses_its_reply(self) -> None:
         async def work() -> None:
             calls = iter(range(10_000))
             self.set_fault(lambda call: "lose" if call == "commit" and next(calls) % 2 == 0 else "")
@@ -285,17 +290,17 @@
 
         self.run_scenario(work, (stream(4),))
 
-    def test_results_wait_while_the_store_is_down(self) -> None:
+    def test_results_are_listed_after_the_store_recovers(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             await daemon.submit(submission())
             self.set_fault(lambda call: "refuse" if call == "commit" else "")
-            await eventually(lambda: len(self.fleet.workers[0].received) == 3, "items run")
+            await eventually(lambda: len(self.fleet.workers[0].received) == 3, "all items start")
             await asyncio.sleep(0.5)
             self.assertEqual([], await daemon.results())
             self.set_fault(lambda call: "")
             self.assert_all_completed(await daemon.wait_for_results(3))
-            self.assertEqual(3, len(self.fleet.workers[0].received), "no item ran again")
+            self.assertEqual(3, len(self.fleet.workers[0].received), "items must not run again")
 
         self.run_scenario(work, (stream(4),))
 
@@ -311,7 +316,7 @@
 
         self.run_scenario(work, (stream(4),))
 
-    def test_job_is_refused_while_the_clock_of_the_store_is_not_known(self) -> None:
+    def test_job_is_refused_while_the_store_clock_is_unknown(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             daemon.now_ms = None
@@ -320,8 +325,8 @@
 
         self.run_scenario(work, (stream(4),))
 
-    def test_ended_job_is_kept_while_the_clock_of_the_store_is_not_known(self) -> None:
-        """A daemon that has just started took its own clock for the store's and dropped it."""
+    def test_cancelled_job_is_kept_while_the_store_clock_is_unknown(self) -> None:
+        """A daemon must not compute a job's age from its own clock and delete the job too early."""
 
         async def work() -> None:
             first = self.daemon("d1")
@@ -333,12 +338,12 @@
             self.assertEqual(3, len(await first.results()))
             first.now_ms = 2_000_000
             await asyncio.sleep(1.2)
-            self.assertEqual([], await first.results(), "an old job is dropped")
+            self.assertEqual([], await first.results(), "expired job must be deleted")
 
         self.run_scenario(work, (stream(4),))
 
-    def test_job_is_taken_soon_after_a_silent_store_is_back(self) -> None:
-        """Found by a score: a pending try kept a job waiting until its caller gave up."""
+    def test_job_is_accepted_soon_after_an_unresponsive_store_recovers(self) -> None:
+        """A pending write must not delay acceptance until the caller times out."""
 
         async def work() -> None:
             daemon = self.daemon()
@@ -350,7 +355,7 @@
 
         self.run_scenario(work, (stream(4),))
 
-    def test_lost_write_is_not_called_refused(self) -> None:
+    def test_lost_write_has_an_unknown_outcome(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             lost = {"commit": "drop", "put_object": "refuse"}
@@ -359,7 +364,7 @@
 
         self.run_scenario(work, (stream(4),))
 
-    def test_job_whose_part_takes_no_writes_is_kept_as_an_object(self) -> None:
+    def test_job_is_stored_as_an_object_if_its_partition_rejects_writes(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             other = self.daemon("d2")
@@ -375,23 +380,23 @@
 
         self.run_scenario(work, (stream(4),))
 
-    def test_job_bound_to_regions_is_refused_rather_than_kept_where_all_read_it(self) -> None:
+    def test_region_bound_job_is_refused_rather_than_stored_as_an_object(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
-            bound = replace(BATCH, regions=frozenset({"north"}))
-            daemon.route, daemon.configuration = bound, configuration(bound)
+            region_bound = replace(BATCH, regions=frozenset({"north"}))
+            daemon.route, daemon.configuration = region_bound, configuration(region_bound)
             self.set_fault(lambda call: "refuse" if call == "commit" else "")
             self.assertEqual(SubmitOutcome.REFUSED, await daemon.submit(submission()))
             self.assertEqual([], await self.store.list_objects("accepted/"))
 
         self.run_scenario(work, (stream(4),))
 
-    def test_job_bound_to_regions_is_not_adopted_elsewhere(self) -> None:
+    def test_region_bound_job_is_not_adopted_in_another_region(self) -> None:
         async def work() -> None:
-            bound = replace(BATCH, regions=frozenset({"north"}))
+            region_bound = replace(BATCH, regions=frozenset({"north"}))
             daemon, other = self.daemon("d1"), self.daemon("d2")
             for each in (daemon, other):
-                each.configuration = configuration(bound)
+                each.configuration = configuration(region_bound)
             other.jobs._owners._is_in_regions = lambda name, regions: name == "d1"
             await daemon.submit(submission())
             await other.watcher.loaded.wait()
@@ -399,11 +404,13 @@
             await asyncio.sleep(2.0)
             self.assertEqual({}, other.jobs._runners)
             other.configuration = configuration(BATCH)
-            await eventually(lambda: other.jobs._runners, "adopted once it may be")
+            await eventually(
+                lambda: other.jobs._runners, "job is adopted after its region limit is lifted"
+            )
 
         self.run_scenario(work, (silence,))
 
-    def test_job_kept_as_an_object_outlives_its_daemon(self) -> None:
+    def test_job_stored_as_an_object_is_adopted_after_its_daemon_dies(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             other = self.daemon("d2")
@@ -416,8 +423,8 @@
 
         self.run_scenario(work, (stream(4),))
 
-    def test_late_write_beside_an_object_makes_one_job(self) -> None:
-        """A row write without an answer takes effect after the same job was kept as an object."""
+    def test_row_write_and_object_write_of_a_job_make_one_job(self) -> None:
+        """A row write takes effect but loses its reply, so the job is also stored as an object."""
 
         async def work() -> None:
             daemon = self.daemon()
@@ -431,8 +438,8 @@
 
         self.run_scenario(work, (stream(4, gap_s=0.05),))
 
-    def test_item_that_was_listed_meanwhile_is_not_listed_again(self) -> None:
-        """Found by a hunt: two runners of one process listed an item at two positions."""
+    def test_item_listed_by_another_runner_is_not_listed_again(self) -> None:
+        """Two runners in one process must not list an item at two positions."""
 
         async def work() -> None:
             daemon = self.daemon()
@@ -440,36 +447,39 @@
             runner = daemon.jobs._runners["job1"]
             found = await daemon.wait_for_results(1)
             index = int(found[0][0][-1])
-            again = next(r for r in await self._listed(daemon) if r.index == index)
-            runner._finished.append(again)
+            duplicate = next(r for r in await self._read_results(daemon) if r.index == index)
+            runner._finished.append(duplicate)
             runner._changed.set()
             self.assert_all_completed(await daemon.wait_for_results(2), 2)
 
         self.run_scenario(work, (stream(4), stream(4, gap_s=0.3)), slots=2)
 
-    async def _listed(self, daemon: Daemon):  # type: ignore[no-untyped-def]
+    async def _read_results(self, daemon: Daemon):  # type: ignore[no-untyped-def]
         page = await daemon.jobs.read("job1", 0, 0.0, 1_000_000)
         return page.results if page else []
 
 
-class Owning(Jobs):
-    def test_job_of_a_dead_owner_goes_on_elsewhere_with_its_progress(self) -> None:
+class OwnershipTest(JobTestCase):
+    def test_job_of_a_dead_owner_resumes_elsewhere_from_its_saved_progress(self) -> None:
         async def work() -> None:
             first, second = self.daemon("d1"), self.daemon("d2")
             await second.watcher.loaded.wait()
             await first.submit(submission(items=1))
             saved = RowKey("job_progress", "", "")
             await eventually(
-                lambda: any(key.table == saved.table for key in self.store.rows), "it is saved"
+                lambda: any(key.table == saved.table for key in self.store.rows),
+                "progress is saved",
             )
             first.kill()
             self.assert_all_completed(await second.wait_for_results(1), 1)
-            asked = [received.resume_after for received in self.fleet.workers[0].received]
-            self.assertTrue(asked[-1] >= 1, asked)
+            resume_positions = [
+                received.resume_after for received in self.fleet.workers[0].received
+            ]
+            self.assertTrue(resume_positions[-1] >= 1, resume_positions)
 
         self.run_scenario(work, (stream(4, gap_s=0.8),))
 
-    def test_owner_that_wakes_lists_nothing(self) -> None:
+    def test_former_owner_that_misses_its_replacement_lists_nothing(self) -> None:
         async def work() -> None:
             first, second = self.daemon("d1"), self.daemon("d2")
             await second.watcher.loaded.wait()
@@ -479,26 +489,28 @@
             self.live.discard("d1")
             found = await second.wait_for_results(3)
             self.assert_all_completed(found)
-            await eventually(lambda: runner._stopped, "the old owner stops")
+            await eventually(lambda: runner._stopped, "former owner stops")
             self.assertEqual(found, await second.results())
 
         self.run_scenario(work, (silence, silence, silence, stream(4)))
 
-    def test_planned_stop_hands_a_job_on_at_once(self) -> None:
+    def test_drain_releases_a_job_promptly(self) -> None:
         async def work() -> None:
             first, second = self.daemon("d1"), self.daemon("d2")
             await second.watcher.loaded.wait()
             await first.submit(submission(items=2))
-            await eventually(lambda: len(self.fleet.workers[0].received) == 2, "items run")
+            await eventually(lambda: len(self.fleet.workers[0].received) == 2, "all items start")
             await asyncio.sleep(0.3)
             await asyncio.wait_for(first.jobs.drain(), 1.0)
             self.assert_all_completed(await second.wait_for_results(2), 2)
-            asked = [received.resume_after for received in self.fleet.workers[0].received]
-            self.assertTrue(all(after >= 1 for after in asked[2:]), asked)
+            resume_positions = [
+                received.resume_after for received in self.fleet.workers[0].received
+            ]
+            self.assertTrue(all(after >= 1 for after in resume_positions[2:]), resume_positions)
 
         self.run_scenario(work, (stream(4, gap_s=0.2),))
 
-    def test_planned_stop_waits_for_no_slot(self) -> None:
+    def test_drain_does_not_wait_for_a_slot(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             await daemon.submit(submission())
@@ -507,8 +519,8 @@
         self.run_scenario(work, (stream(4),), slots=1)
 
 
-class Order(TestCase):
-    """Which daemon adopts a job first."""
+class AdoptionOrderTest(TestCase):
+    """Ranking that decides which daemon adopts a job first."""
 
     NAMES = tuple(f"d{i}" for i in range(9))
 
@@ -519,34 +531,34 @@
             for name in self.NAMES
         }
 
-    def test_all_daemons_have_different_ranks(self) -> None:
+    def test_all_daemons_have_distinct_ranks(self) -> None:
         for serving in (frozenset(), frozenset({"d2", "d5"}), frozenset(self.NAMES)):
             self.assertEqual(list(range(9)), sorted(self.ranks(serving).values()))
 
-    def test_daemons_that_serve_callers_come_first(self) -> None:
+    def test_daemons_that_serve_callers_rank_first(self) -> None:
         ranks = self.ranks(frozenset({"d2", "d5", "gone"}))
         self.assertEqual({0, 1}, {ranks["d2"], ranks["d5"]})
 
 
-class Ending(Jobs):
-    def test_ended_job_starts_nothing_more_and_keeps_what_is_listed(self) -> None:
+class CancellationTest(JobTestCase):
+    def test_cancelled_job_starts_no_items_and_keeps_listed_results(self) -> None:
         async def work() -> None:
             first, second = self.daemon("d1"), self.daemon("d2")
             await second.watcher.loaded.wait()
             await first.submit(submission(items=6))
             await first.wait_for_results(1)
             self.assertTrue(await second.jobs.cancel("job1"))
-            self.assertTrue(await second.jobs.cancel("job1"), "ending again is answered alike")
+            self.assertTrue(await second.jobs.cancel("job1"), "cancelling again must succeed")
             listed = await second.results()
-            runs = len(self.fleet.workers[0].received)
+            request_count = len(self.fleet.workers[0].received)
             await asyncio.sleep(0.6)
-            self.assertTrue(len(self.fleet.workers[0].received) <= runs + 1)
+            self.assertTrue(len(self.fleet.workers[0].received) <= request_count + 1)
             self.assertEqual(listed, await second.results())
             self.assertFalse(await second.jobs.cancel("unknown"))
 
         self.run_scenario(work, (stream(4, gap_s=0.1),), slots=1)
 
-    def test_nothing_starts_without_fresh_contact_to_the_store(self) -> None:
+    def test_no_item_starts_without_recent_contact_to_the_store(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             await daemon.watcher.loaded.wait()
@@ -559,7 +571,7 @@
 
         self.run_scenario(work, (stream(4),))
 
-    def test_ended_while_its_head_row_is_missing(self) -> None:
+    def test_job_without_a_head_row_can_be_cancelled(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             await daemon.watcher.loaded.wait()
@@ -567,24 +579,24 @@
             await daemon.submit(submission())
             self.store.fault = lambda call: ""
             self.assertTrue(await daemon.jobs.cancel("job1"))
-            await eventually(lambda: not daemon.jobs._runners, "the runner stops")
+            await eventually(lambda: not daemon.jobs._runners, "runner stops")
 
         self.run_scenario(work, (silence,))
 
 
-class Cleaning(Jobs):
-    def test_old_job_leaves_nothing_behind(self) -> None:
+class RetentionTest(JobTestCase):
+    def test_expired_job_leaves_no_rows(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             await daemon.submit(submission())
             await daemon.wait_for_results(3)
-            daemon.jobs._keep_s = lambda head: -1.0
-            await eventually(lambda: not self.store.rows, "every row is gone")
+            daemon.jobs._retention_s = lambda head: -1.0
+            await eventually(lambda: not self.store.rows, "all rows of the expired job are deleted")
 
         self.run_scenario(work, (stream(4),))
 
 
-class Helpers(TestCase):
+class HelperTest(TestCase):
     def test_event_and_transaction_helpers(self) -> None:
         self.assertIn(b"id: 3", event(3))
         self.assertEqual([], Transaction().puts)
