--- a/mountstand/routing/__init__.py
+++ b/mountstand/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of a back end for one request."""
+"""Request routing: selects the worker that serves each request."""
--- a/mountstand/routing/chooser.py
+++ b/mountstand/routing/chooser.py
@@ -1,7 +1,11 @@
-"""Choice of one worker for one request.
+"""Zone-aware, prefix-aware selection of the worker for one request.
 
-Home zone first and spill by load; inside the zone the worker that holds the longest prompt prefix,
-unless it is loaded over its bound; else the better of two random workers. Pure and seeded.
+Workers in the daemon's home zone are preferred until even the least loaded of them reaches
+``SPILL_LOAD_THRESHOLD``; from then on workers in all zones are considered. Among those, the worker
+holding the longest cached prompt prefix is chosen unless its load is too far above the mean.
+Otherwise the less loaded of two randomly sampled workers is chosen (power of two choices).
+
+This module performs no I/O, and its choices are reproducible for a given random seed.
 """
 
 from __future__ import annotations
@@ -13,20 +17,25 @@
 from mountstand.routing.prefix_index import PrefixIndex
 
 SPILL_LOAD_THRESHOLD = 0.9
-"""Load of the best home worker over which other zones are considered."""
+"""Other zones are considered once the least loaded home worker reaches this load."""
 
 MAX_AFFINITY_LOAD_EXCESS = 0.25
-"""How much more loaded than the mean a worker may be and still be chosen for its prefix."""
+"""Largest load above the candidates' mean at which a worker is chosen for its cached prefix."""
 
 MIN_AFFINITY_BLOCKS = 2
-"""Shorter matches (128 characters) save less than an uneven load costs."""
+"""Shorter matches (under 128 characters) save less computation than uneven load costs."""
 
 LOAD_SAMPLE_SIZE = 2
+"""Candidates sampled at random, of which the least loaded is chosen."""
 
 
 @dataclass(frozen=True)
 class RouteRequest:
-    """What the choice depends on."""
+    """Routing criteria of one request.
+
+    ``prefix`` holds the hashes of the prompt's leading blocks, in order. ``excluded`` holds the ids
+    of workers that must not be chosen.
+    """
 
     service: str
     prefix: tuple[str, ...] = ()
@@ -34,18 +43,20 @@
 
 
 class WorkerChooser:
-    """Chooses workers from a fleet view.
+    """Chooses workers from a fleet view; not thread-safe.
+
+    Callers may replace ``zone_weights``: it maps a zone to the probability, from 0 to 1, with
+    which each of its workers is considered for a request; 0 excludes the zone.
+    Zones that it omits have weight 1.
 
     Parameters
     ----------
     view
-        The daemon's knowledge of its workers.
+        The daemon's view of its workers.
     home_zone
-        Zone of this daemon.
-    source
-        Random source, seeded by the caller.
-    zone_weights
-        Share of ordinary traffic that a zone takes, 0 to 1; zones not named take all of theirs.
+        Zone that this daemon runs in.
+    random_source
+        Random number generator, seeded by the caller.
     """
 
     def __init__(self, view: FleetView, home_zone: str, random_source: random.Random) -> None:
@@ -56,7 +67,10 @@
         self._random = random_source
 
     def choose(self, request: RouteRequest, now_s: float) -> WorkerState | None:
-        """Return the worker for ``request``, or ``None`` when none may take it."""
+        """Return the worker for ``request``, or ``None`` if no worker is eligible.
+
+        The prefix index is updated at once, since the chosen worker will cache the prompt's blocks.
+        """
         candidates = [
             worker
             for worker in self._view.candidates(request.service, now_s)
@@ -65,13 +79,19 @@
         candidates = self._apply_zone_weights(candidates)
         if not candidates:
             return None
-        eligible = self._local_or_all(candidates, now_s)
-        chosen = self._by_prefix(request, eligible, now_s) or self._by_load(eligible, now_s)
+        eligible = self._prefer_home_zone(candidates, now_s)
+        chosen = self._choose_by_prefix(request, eligible, now_s) or self._choose_by_load(
+            eligible, now_s
+        )
         for block in request.prefix:
             self.prefix_index.record_stored(block, chosen.worker_id)
         return chosen
 
     def _apply_zone_weights(self, candidates: list[WorkerState]) -> list[WorkerState]:
+        """Keep each candidate with its zone's weight as probability.
+
+        If none is kept, return all candidates in zones of positive weight.
+        """
         if not self.zone_weights:
             return candidates
         admitted = [
@@ -82,7 +102,7 @@
         in_open_zones = [w for w in candidates if self.zone_weights.get(w.machine.zone, 1.0) > 0]
         return admitted or in_open_zones
 
-    def _local_or_all(self, candidates: list[WorkerState], now_s: float) -> list[WorkerState]:
+    def _prefer_home_zone(self, candidates: list[WorkerState], now_s: float) -> list[WorkerState]:
         home_workers = [w for w in candidates if w.machine.zone == self._home_zone]
         if not home_workers:
             return candidates
@@ -90,7 +110,7 @@
             return home_workers
         return candidates
 
-    def _by_prefix(
+    def _choose_by_prefix(
         self, request: RouteRequest, candidates: list[WorkerState], now_s: float
     ) -> WorkerState | None:
         matched_counts = self.prefix_index.matched_block_counts(list(request.prefix))
@@ -106,6 +126,6 @@
             return None
         return max(holders, key=lambda w: (matched_counts[w.worker_id], -loads[w.worker_id]))
 
-    def _by_load(self, candidates: list[WorkerState], now_s: float) -> WorkerState:
+    def _choose_by_load(self, candidates: list[WorkerState], now_s: float) -> WorkerState:
         sampled = self._random.sample(candidates, min(LOAD_SAMPLE_SIZE, len(candidates)))
         return min(sampled, key=lambda worker: worker.estimated_load(now_s))
--- a/mountstand/routing/fleet_view.py
+++ b/mountstand/routing/fleet_view.py
@@ -1,6 +1,7 @@
-"""What one daemon knows of the workers: addresses, own work in flight, lagging load reports.
+"""One daemon's view of the workers: machines, its own requests in flight, and load reports.
 
-Pure state: the clock is handed in, and no I/O happens here. Not thread-safe; the owner locks.
+This module performs no I/O and reads no clock: callers pass the current time. It is not
+thread-safe; :class:`mountstand.routing.router.Router` serializes access.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 from mountstand.store.ports import Machine, MachineRole
 
 LOAD_REPORT_HALF_LIFE_S = 0.5
-"""Age at which a load report counts half; engine work turns over within about a second."""
+"""Age at which a load report has half weight; engine work is replaced in about a second."""
 
 DEFAULT_SLOTS = 16
-"""Slots assumed of a worker that has not reported yet."""
+"""Slots assumed for a worker that has not reported its load yet."""
 
 
 class DispatchOutcome(Enum):
-    """How a dispatch ended, as evidence about the worker's health."""
+    """Result of a dispatch; only ``SUCCESS`` and ``FAILED`` affect the worker's health."""
 
     SUCCESS = "success"
     REFUSED = "refused"
@@ -31,7 +32,12 @@
 
 @dataclass
 class WorkerState:
-    """One worker as this daemon sees it."""
+    """State of one worker as seen by this daemon.
+
+    ``in_flight`` and ``batch_in_flight`` count this daemon's own online and batch dispatches.
+    ``own_in_flight_at_report`` is ``in_flight`` when the latest load report arrived. The worker
+    gets no online request and no additional batch item before ``backoff_until_s``.
+    """
 
     machine: Machine
     in_flight: int = 0
@@ -46,21 +52,28 @@
 
     @property
     def worker_id(self) -> str:
-        """The platform's id of the machine."""
+        """The machine id assigned by the platform."""
         return self.machine.machine_id
 
     @property
     def leaving(self) -> bool:
-        """Whether the worker gets no new work, by whichever source says so first."""
+        """Whether the worker must get no new work.
+
+        True as soon as the machine list, the worker's load report or an operator's drain says so.
+        """
         return self.machine.leaving or self.reported_leaving or self.drained
 
     @property
     def slots(self) -> int:
-        """Requests that the worker runs together."""
+        """Number of requests that the worker can run concurrently."""
         return self.report.slots if self.report else DEFAULT_SLOTS
 
     def estimated_load(self, now_s: float) -> float:
-        """Return online work over slots: own in flight plus others' by the aged report."""
+        """Return the estimated number of online requests per slot.
+
+        Adds this daemon's requests in flight to those of other daemons. The latter are taken from
+        the latest load report and weighted down exponentially with its age.
+        """
         others_online = 0.0
         if self.report is not None:
             age_s = max(0.0, now_s - self.report_time_s)
@@ -72,7 +85,7 @@
 
 
 class FleetView:
-    """All workers that one daemon may dispatch to."""
+    """Registry of all workers that one daemon may dispatch to."""
 
     def __init__(self) -> None:
         self.workers: dict[str, WorkerState] = {}
@@ -81,7 +94,11 @@
         self._drained_zones: frozenset[str] = frozenset()
 
     def update_machines(self, machines: Iterable[Machine]) -> None:
-        """Take over the platform's list; what is known of workers that stay is kept."""
+        """Apply the platform's machine list.
+
+        A worker that remains listed keeps its state unless another process has taken over its
+        machine id.
+        """
         listed = {m.machine_id: m for m in machines if m.role is not MachineRole.DAEMON}
         for worker_id in list(self.workers):
             if worker_id not in listed:
@@ -98,10 +115,7 @@
             self._by_service.setdefault(worker.machine.service, []).append(worker)
 
     def set_drained(self, worker_ids: frozenset[str], zones: frozenset[str]) -> bool:
-        """Mark the workers that operators drain, one by one or with their zone.
-
-        Returns whether anything changed.
-        """
+        """Set the workers and zones that operators drain; return whether either set changed."""
         if (worker_ids, zones) == (self._drained_ids, self._drained_zones):
             return False
         self._drained_ids = worker_ids
@@ -115,7 +129,7 @@
         worker.drained = drained_by_id or worker.machine.zone in self._drained_zones
 
     def record_load(self, worker_id: str, report: LoadReport, now_s: float) -> None:
-        """Take a load report as of ``now_s``."""
+        """Store a load report received at ``now_s``; ignore reports from unknown workers."""
         worker = self.workers.get(worker_id)
         if worker is None:
             return
@@ -125,7 +139,10 @@
         worker.reported_leaving = report.leaving
 
     def record_response_load(self, worker_id: str, load: LoadFigures, now_s: float) -> None:
-        """Take the load that came with an answer; it is fresher than any polled report."""
+        """Update the latest load report with the load that accompanied a response.
+
+        It is fresher than any polled report. Ignored before the first polled report.
+        """
         worker = self.workers.get(worker_id)
         if worker is None or worker.report is None:
             return
@@ -134,7 +151,7 @@
         worker.own_in_flight_at_report = worker.in_flight
 
     def begin_dispatch(self, worker_id: str, *, batch: bool = False) -> None:
-        """Count a dispatch to a worker."""
+        """Count a dispatch as in flight."""
         worker = self.workers.get(worker_id)
         if worker is None:
             return
@@ -146,7 +163,7 @@
     def end_dispatch(
         self, worker_id: str, outcome: DispatchOutcome, now_s: float, *, batch: bool = False
     ) -> None:
-        """Count the end of a dispatch and learn from its outcome."""
+        """Remove a dispatch from the in-flight count and update the worker's health."""
         worker = self.workers.get(worker_id)
         if worker is None:
             return
@@ -160,17 +177,20 @@
             worker.health.record_failure(now_s)
 
     def set_backoff(self, worker_id: str, until_s: float) -> None:
-        """Note that a worker refused and when it may be asked again."""
+        """Exclude a worker that refused a request from dispatches until ``until_s``."""
         worker = self.workers.get(worker_id)
         if worker is not None:
             worker.backoff_until_s = until_s
 
     def services(self) -> set[str]:
-        """Return the services that some worker serves."""
+        """Return the services that have at least one worker."""
         return set(self._by_service)
 
     def models(self) -> dict[str, str]:
-        """Return each model loaded anywhere with the service that has it."""
+        """Map each model name to a service whose engines have it loaded.
+
+        The name of each engine service is also accepted as a model name.
+        """
         service_by_model: dict[str, str] = {}
         for worker in self.workers.values():
             if worker.machine.role is not MachineRole.ENGINE:
@@ -181,7 +201,11 @@
         return service_by_model
 
     def candidates(self, service: str, now_s: float) -> list[WorkerState]:
-        """Return the workers of ``service`` that may get new work, worst ejected left out."""
+        """Return the workers of ``service`` that may get new work.
+
+        Leaving and ejected workers are omitted. If more than ``MAX_EJECTED_FRACTION`` are ejected,
+        those whose ejection ends soonest are returned all the same.
+        """
         available = [w for w in self._by_service.get(service, []) if not w.leaving]
         ejected = [worker for worker in available if worker.health.is_ejected(now_s)]
         ejected.sort(key=lambda worker: -worker.health.ejected_until_s)
@@ -190,7 +214,7 @@
 
 
 def is_replaced(previous: Machine, listed: Machine) -> bool:
-    """Return whether a machine id now stands for another process."""
+    """Return whether a machine id now identifies another process."""
     return (previous.address, previous.port, previous.service) != (
         listed.address,
         listed.port,
--- a/mountstand/routing/observer.py
+++ b/mountstand/routing/observer.py
@@ -1,4 +1,4 @@
-"""Keeps the router's knowledge fresh: machine list, load reports and cache events."""
+"""Background polling that feeds machine lists, load reports and cache events to the router."""
 
 from __future__ import annotations
 
@@ -18,7 +18,14 @@
 
 
 class FleetObserver:
-    """Polls the machine list and the workers for one daemon."""
+    """Polls the platform's machine list and the workers on behalf of one daemon.
+
+    ``on_machines`` is called with each new machine list, after the router has applied it. ``ready``
+    is set once the first list has been applied and passed to ``on_machines``.
+
+    The ``*_poll_s`` parameters are polling intervals. ``load_polls_per_s`` and
+    ``cache_polls_per_s`` limit the total rate of polls over all workers.
+    """
 
     def __init__(
         self,
@@ -38,14 +45,14 @@
         self._backend = backend
         self._on_machines = on_machines
         self._executor = ThreadPoolExecutor(POLL_THREAD_COUNT, thread_name_prefix="worker-poll")
-        self._polling: set[str] = set()
-        self._polling_lock = threading.Lock()
-        self._cache_numbers: dict[str, int] = {}
-        # Polls a round are bounded, so that their cost does not grow with the fleet.
-        self._load_round = max(1, int(load_polls_per_s * load_poll_s))
-        self._cache_round = max(1, int(cache_polls_per_s * cache_poll_s))
-        self._load_rotation = 0
-        self._cache_rotation = 0
+        self._pending_polls: set[str] = set()
+        self._pending_polls_lock = threading.Lock()
+        self._last_cache_event_numbers: dict[str, int] = {}
+        # Limit polls per round so that polling cost does not grow with the fleet.
+        self._load_polls_per_round = max(1, int(load_polls_per_s * load_poll_s))
+        self._cache_polls_per_round = max(1, int(cache_polls_per_s * cache_poll_s))
+        self._load_poll_offset = 0
+        self._cache_poll_offset = 0
         self._last_machines: list[Machine] | None = None
         self.ready = threading.Event()
         self._tasks = [
@@ -55,18 +62,18 @@
         ]
 
     def start(self) -> None:
-        """Start polling."""
+        """Start the periodic polling tasks."""
         for task in self._tasks:
             task.start()
 
     def stop(self) -> None:
-        """Stop polling."""
+        """Stop the polling tasks and cancel queued polls without waiting for running ones."""
         for task in self._tasks:
             task.stop()
         self._executor.shutdown(wait=False, cancel_futures=True)
 
     def poll_machines(self) -> None:
-        """Take over the platform's machine list once."""
+        """Fetch the platform's machine list once and apply it if it has changed."""
         machines = self._machine_list.machines()
         if machines is self._last_machines:
             return
@@ -76,33 +83,35 @@
         self.ready.set()
 
     def poll_loads(self) -> None:
-        """Ask a bounded number of workers for their load."""
+        """Start load polls of the next workers in rotation, up to the limit per round."""
         machines = self._router.workers_to_poll()
-        self._load_rotation += self._load_round
-        for machine in circular_slice(machines, self._load_rotation, self._load_round):
-            self._submit(machine, self._poll_load)
+        self._load_poll_offset += self._load_polls_per_round
+        for machine in circular_slice(machines, self._load_poll_offset, self._load_polls_per_round):
+            self._submit_poll(machine, self._poll_load)
 
     def poll_caches(self) -> None:
-        """Ask a bounded number of engines for their cache events."""
+        """Start cache event polls of the next engines in rotation, up to the limit per round."""
         engines = [m for m in self._router.machines() if m.role is MachineRole.ENGINE]
-        self._cache_rotation += self._cache_round
-        for machine in circular_slice(engines, self._cache_rotation, self._cache_round):
-            self._submit(machine, self._poll_cache)
+        self._cache_poll_offset += self._cache_polls_per_round
+        for machine in circular_slice(
+            engines, self._cache_poll_offset, self._cache_polls_per_round
+        ):
+            self._submit_poll(machine, self._poll_cache)
 
-    def _submit(self, machine: Machine, poll: Callable[[Machine], None]) -> None:
+    def _submit_poll(self, machine: Machine, poll: Callable[[Machine], None]) -> None:
         key = f"{poll.__name__} {machine.machine_id}"
-        with self._polling_lock:
-            if key in self._polling:
+        with self._pending_polls_lock:
+            if key in self._pending_polls:
                 return
-            self._polling.add(key)
+            self._pending_polls.add(key)
         self._executor.submit(self._run_poll, key, machine, poll)
 
     def _run_poll(self, key: str, machine: Machine, poll: Callable[[Machine], None]) -> None:
         try:
             poll(machine)
         finally:
-            with self._polling_lock:
-                self._polling.discard(key)
+            with self._pending_polls_lock:
+                self._pending_polls.discard(key)
 
     def _poll_load(self, machine: Machine) -> None:
         try:
@@ -113,17 +122,17 @@
         self._router.record_load(machine.machine_id, report)
 
     def _poll_cache(self, machine: Machine) -> None:
-        after_number = self._cache_numbers.get(machine.machine_id, 0)
+        after_number = self._last_cache_event_numbers.get(machine.machine_id, 0)
         try:
             changes, last_number = self._backend.cache_changes(machine, after_number)
         except MountstandError:
             return
-        self._cache_numbers[machine.machine_id] = last_number
+        self._last_cache_event_numbers[machine.machine_id] = last_number
         self._router.record_cache_changes(machine.machine_id, changes)
 
 
 def circular_slice(machines: list[Machine], start: int, count: int) -> list[Machine]:
-    """Return ``count`` machines from position ``start`` on, going round."""
+    """Return up to ``count`` machines from position ``start`` on, wrapping around at the end."""
     if len(machines) <= count:
         return machines
     first = start % len(machines)
--- a/mountstand/routing/outliers.py
+++ b/mountstand/routing/outliers.py
@@ -1,36 +1,41 @@
-"""Ejection of workers that fail: a daemon's own evidence, with a cap on the ejected share."""
+"""Outlier detection: ejects workers that keep failing, up to a limited fraction of them.
+
+Each daemon decides from the failures that it observes itself.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 CONSECUTIVE_FAILURES_TO_EJECT = 3
-"""Failures in a row, so that one broken exchange does not remove a worker."""
+"""Above one, so that a single failed request does not eject a worker."""
 
 BASE_EJECTION_S = 1.0
 MAX_EJECTION_S = 30.0
 MAX_EJECTED_FRACTION = 0.5
-"""Past this share failures are likely to be the daemon's or the network's own."""
+"""If more workers fail, the cause is probably this daemon or its network."""
 
 
 @dataclass
 class WorkerHealth:
-    """What one daemon has seen of one worker."""
+    """Failure and ejection state of one worker, as observed by one daemon."""
 
     consecutive_failures: int = 0
     consecutive_ejections: int = 0
     ejected_until_s: float = 0.0
 
     def record_success(self) -> None:
-        """Forget earlier failures."""
+        """Reset the failure and ejection state."""
         self.consecutive_failures = 0
         self.consecutive_ejections = 0
         self.ejected_until_s = 0.0
 
     def record_failure(self, now_s: float) -> None:
-        """Count a failure; eject for twice as long each time.
+        """Count a failure and eject the worker if it has failed too often in succession.
 
-        Failures of one outage that are seen during the ejection do not lengthen it.
+        Each ejection since the last success lasts twice as long as the previous one, up to
+        ``MAX_EJECTION_S``, and after the first a single failure is enough. Failures during an
+        ejection are ignored, since they may stem from the same outage.
         """
         if self.is_ejected(now_s):
             return
@@ -45,10 +50,10 @@
         self.ejected_until_s = now_s + duration_s
 
     def is_ejected(self, now_s: float) -> bool:
-        """Return whether the worker should get no ordinary traffic now."""
+        """Return whether the worker is ejected at ``now_s`` and should get no ordinary traffic."""
         return now_s < self.ejected_until_s
 
 
 def max_ejected_count(worker_count: int) -> int:
-    """Return how many of ``worker_count`` may be ejected at once."""
+    """Return how many of ``worker_count`` workers may be ejected at once."""
     return int(worker_count * MAX_EJECTED_FRACTION)
--- a/mountstand/routing/prefix_index.py
+++ b/mountstand/routing/prefix_index.py
@@ -1,20 +1,24 @@
-"""Which worker probably holds which prompt prefix, from own dispatches and cache events."""
+"""Index of the prompt prefixes that workers have cached.
+
+Built from this daemon's own dispatches and from the engines' cache events.
+"""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
 MAX_TRACKED_BLOCKS = 100_000
-"""Bounds memory to about 20 MB; the least recently used blocks are forgotten."""
+"""Limits the index to about 20 MB; the least recently stored blocks are dropped first."""
 
 MAX_HASHED_BLOCKS = 32
-"""Prefix blocks considered per prompt; longer matches change the choice very little."""
+"""Prefix blocks hashed per prompt; longer matches rarely change the choice."""
 
 
 class PrefixIndex:
-    """Map of prefix block to the workers believed to hold it.
+    """Maps prefix blocks to the workers that probably have them cached.
 
-    Events arrive late and with gaps, so the index is a hint: a wrong entry costs a cache miss.
+    Cache events arrive late and some are lost, so entries may be wrong. A wrong entry only costs a
+    cache miss. Not thread-safe.
     """
 
     def __init__(self, capacity_blocks: int = MAX_TRACKED_BLOCKS) -> None:
@@ -22,14 +26,14 @@
         self._holders: OrderedDict[str, set[str]] = OrderedDict()
 
     def record_stored(self, block: str, worker_id: str) -> None:
-        """Note that ``worker_id`` holds ``block``."""
+        """Record that ``worker_id`` has ``block`` cached."""
         self._holders.setdefault(block, set()).add(worker_id)
         self._holders.move_to_end(block)
         while len(self._holders) > self._capacity_blocks:
             self._holders.popitem(last=False)
 
     def record_evicted(self, block: str, worker_id: str) -> None:
-        """Note that ``worker_id`` dropped ``block``."""
+        """Record that ``worker_id`` has evicted ``block`` from its cache."""
         holders = self._holders.get(block)
         if holders is None:
             return
@@ -38,7 +42,10 @@
             del self._holders[block]
 
     def matched_block_counts(self, blocks: list[str]) -> dict[str, int]:
-        """Return, by worker, how many leading ``blocks`` it is believed to hold."""
+        """Map each worker id to the number of leading ``blocks`` that the worker probably holds.
+
+        Workers without the first block are omitted.
+        """
         matched_counts: dict[str, int] = {}
         common_holders: set[str] | None = None
         for depth, block in enumerate(blocks, start=1):
--- a/tests/unit/test_chooser.py
+++ b/tests/unit/test_chooser.py
@@ -1,4 +1,4 @@
-"""The choice of a worker, by tables, with a seeded random source."""
+"""Tests of worker selection with a seeded random number generator."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
 
     def chosen_worker_ids(self, **keywords) -> set[str]:
         request = RouteRequest("caption", **keywords)
-        found = (self.chooser.choose(request, 100.0) for _ in range(60))
-        return {worker.worker_id for worker in found if worker}
+        choices = (self.chooser.choose(request, 100.0) for _ in range(60))
+        return {worker.worker_id for worker in choices if worker}
 
     def test_prefers_home_zone_until_overloaded(self) -> None:
         self.assertEqual({"w0", "w1"}, self.chosen_worker_ids())
@@ -62,22 +62,24 @@
 
     def test_skips_ineligible_workers(self) -> None:
         cases = {
-            "leaving by its report": lambda: self.record_load_report(0, 0, leaving=True),
-            "leaving by the list": lambda: self.view.update_machines(
+            "leaving according to its load report": lambda: self.record_load_report(
+                0, 0, leaving=True
+            ),
+            "leaving according to the machine list": lambda: self.view.update_machines(
                 [make_machine(0, "home", MachineState.LEAVING), make_machine(1, "home")]
             ),
             "drained": lambda: self.view.set_drained(frozenset({"w0"}), frozenset()),
             "ejected": lambda: [
                 self.view.end_dispatch("w0", DispatchOutcome.FAILED, 100.0) for _ in range(3)
             ],
-            "refused a moment ago": lambda: self.view.set_backoff("w0", 101.0),
+            "backing off after a refusal": lambda: self.view.set_backoff("w0", 101.0),
         }
-        for name, make_ineligible in cases.items():
+        for reason, make_ineligible in cases.items():
             self.set_up_two_home_workers()
             make_ineligible()
-            self.assertEqual({"w1"}, self.chosen_worker_ids(), name)
+            self.assertEqual({"w1"}, self.chosen_worker_ids(), reason)
 
-    def set_up_two_home_workers(self) -> None:  # noqa: N802
+    def set_up_two_home_workers(self) -> None:
         self.view = FleetView()
         self.chooser = WorkerChooser(self.view, "home", random.Random(1))
         self.view.update_machines(make_machine(n, "home") for n in range(2))
@@ -90,10 +92,10 @@
                 self.view.end_dispatch(f"w{number}", DispatchOutcome.FAILED, 100.0 + number / 10)
         self.assertEqual(2, len(self.view.candidates("caption", 100.5)))
 
-    def test_zone_weights_limit_traffic(self) -> None:
+    def test_zero_weight_excludes_zone_and_partial_weight_limits_it(self) -> None:
         self.chooser.zone_weights = {"home": 0.0}
         self.assertEqual({"w2", "w3"}, self.chosen_worker_ids())
         self.chooser.zone_weights = {"home": 0.5}
         request = RouteRequest("caption")
-        zones = [self.chooser.choose(request, 100.0).make_machine.zone for _ in range(400)]
+        zones = [self.chooser.choose(request, 100.0).machine.zone for _ in range(400)]
         self.assertTrue(0.6 < zones.count("home") / 400 < 0.9, zones.count("home"))
