--- a/mountstand/jobs/acceptance.py
+++ b/mountstand/jobs/acceptance.py
@@ -47,11 +47,11 @@
 class StoredJob:
     """A durable job.
 
-    ``begin`` is its head and version (``ABSENT`` if stored as an object), or ``None`` if its rows
+    ``head_and_version`` is its head and version (``ABSENT`` if stored as an object), or ``None`` if its rows
     already existed, possibly from an earlier write of this submission.
     """
 
-    begin: tuple[JobHead, int] | None
+    head_and_version: tuple[JobHead, int] | None
 
 
 class JobAcceptance:
--- a/mountstand/jobs/owners.py
+++ b/mountstand/jobs/owners.py
@@ -12,7 +12,7 @@
 from mountstand.serving.residency import ANYWHERE, Regions
 
 
-class Owners:
+class OwnershipRules:
     """Ownership rules for jobs, as seen from this daemon.
 
     ``live_tokens`` returns the process tokens of live daemons by daemon name, and ``serving_names``
--- a/mountstand/jobs/runner.py
+++ b/mountstand/jobs/runner.py
@@ -65,7 +65,7 @@
             self._restore(saved_progress)
         self._finished: deque[ItemResult] = deque()
         self._unconfirmed_by_write_id: dict[str, list[ItemResult]] = {}
-        self._changed = asyncio.Event()
+        self._wake_event = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
         self._waiting_tasks: set[asyncio.Task[None]] = set()
         self._draining = False
@@ -93,7 +93,7 @@
 
     def _on_item_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
-        self._changed.set()
+        self._wake_event.set()
 
     def handle_head(self, head: JobHead, version: int) -> None:
         """Handle a head from the store feed: stop if the job has ended or has another owner."""
@@ -101,7 +101,7 @@
             return
         if head.ended or head.owner != self.head.owner:
             self._stopped = True
-            self._changed.set()
+            self._wake_event.set()
 
     def drain(self) -> None:
         """Stop starting items, list the finished results and release the job.
@@ -112,7 +112,7 @@
         self._draining = True
         for task in list(self._waiting_tasks):
             task.cancel()
-        self._changed.set()
+        self._wake_event.set()
 
     # Listing
 
@@ -125,8 +125,8 @@
         retry_delay_s = INITIAL_RETRY_DELAY_S
         while not self._stopped and self.head.is_open:
             if not self._finished and self._version != ABSENT and not self._draining:
-                self._changed.clear()
-                await self._changed.wait()
+                self._wake_event.clear()
+                await self._wake_event.wait()
                 continue
             try:
                 if self._draining and not self._finished:
@@ -253,13 +253,13 @@
                 self._context.metrics.batch_item_ended(result.state.value)
                 self._progress.pop(progress.index, None)
                 self._finished.append(result)
-                self._changed.set()
+                self._wake_event.set()
                 return
             if self._draining:
                 break
             if not progress.preempted:
                 await asyncio.sleep(INITIAL_RETRY_DELAY_S * random.uniform(0.5, 1.5))
-        self._changed.set()
+        self._wake_event.set()
 
     async def _try_item(self, progress: ItemProgress) -> ItemResult | None:
         """Wait for a slot and make one attempt.
--- a/mountstand/jobs/service.py
+++ b/mountstand/jobs/service.py
@@ -14,7 +14,7 @@
 from mountstand.jobs.acceptance import JobAcceptance, StoredJob, SubmitOutcome
 from mountstand.jobs.item_execution import RunnerContext
 from mountstand.jobs.model import JobHead, JobItem, JobSubmission, SavedProgress, decode_head
-from mountstand.jobs.owners import Owners
+from mountstand.jobs.owners import OwnershipRules
 from mountstand.jobs.quota import TokenQuota
 from mountstand.jobs.reading import ANY_TENANT, JobReader, ResultPage, is_visible_to_tenant
 from mountstand.jobs.repository import MAX_JOB_OBJECT_COPIES, JobRepository, new_write_id
@@ -53,7 +53,7 @@
     def __init__(
         self,
         context: RunnerContext,
-        owners: Owners,
+        owners: OwnershipRules,
         parse_document: Callable[[bytes], tuple[JobItem, ...]],
         retention_s: Callable[[JobHead], float],
     ) -> None:
@@ -127,9 +127,9 @@
 
         def start_if_new(stored: StoredJob) -> None:
             nonlocal already_existed
-            already_existed = stored.begin is None
-            if stored.begin is not None:
-                self._start_runner(*stored.begin, submission.items)
+            already_existed = stored.head_and_version is None
+            if stored.head_and_version is not None:
+                self._start_runner(*stored.head_and_version, submission.items)
 
         copies = 0 if self._is_region_bound(route, submission.tenant) else MAX_JOB_OBJECT_COPIES
         acceptance = JobAcceptance(self._repository, submission, head, copies)
--- a/mountstand/serving_node.py
+++ b/mountstand/serving_node.py
@@ -15,7 +15,7 @@
 from mountstand.errors import MountstandError
 from mountstand.jobs.item_execution import RunnerContext
 from mountstand.jobs.model import JobHead, JobItem
-from mountstand.jobs.owners import Owners
+from mountstand.jobs.owners import OwnershipRules
 from mountstand.jobs.repository import JobRepository
 from mountstand.jobs.service import JobService
 from mountstand.membership.datagrams import FAILURE_DETECTION, DatagramMembership
@@ -292,7 +292,7 @@
             store_now_ms=self._store_now_ms,
             max_store_age_s=lambda: min(self.settings.contact_s, self.settings.cancel_s),
         )
-        self.owners = owners = Owners(
+        self.owners = owners = OwnershipRules(
             self.registry.own.token,
             self.registry.live_tokens,
             self.settings.name,
--- a/tests/jobs/test_jobs.py
+++ b/tests/jobs/test_jobs.py
@@ -13,7 +13,7 @@
 from mountstand.jobs.acceptance import SubmitOutcome
 from mountstand.jobs.item_execution import RunnerContext
 from mountstand.jobs.model import ItemState, JobSubmission
-from mountstand.jobs.owners import Owners
+from mountstand.jobs.owners import OwnershipRules
 from mountstand.jobs.repository import HEADS_TABLE, JobRepository, partition_names
 from mountstand.jobs.service import JobService
 from mountstand.platform.ingress import parse_items
@@ -72,7 +72,7 @@
             store_now_ms=self.store_now_ms,
             max_store_age_s=lambda: 3.0,
         )
-        owners = Owners(name, lambda: {other: other for other in live}, name)
+        owners = OwnershipRules(name, lambda: {other: other for other in live}, name)
         self.jobs = JobService(context, owners, parse_items, lambda head: 1000.0)
         self.watcher = TableWatcher(
             store, HEADS_TABLE, partition_names(), self.jobs.apply, fleet.log
@@ -449,7 +449,7 @@
             index = int(found[0][0][-1])
             duplicate = next(r for r in await self._read_results(daemon) if r.index == index)
             runner._finished.append(duplicate)
-            runner._changed.set()
+            runner._wake_event.set()
             self.assert_all_completed(await daemon.wait_for_results(2), 2)
 
         self.run_scenario(work, (stream(4), stream(4, gap_s=0.3)), slots=2)
@@ -527,7 +527,7 @@
     def ranks(self, serving: frozenset[str]) -> dict[str, int]:
         live = {name: name for name in self.NAMES}
         return {
-            name: Owners(name, lambda: live, name, lambda: serving).rank("job1")
+            name: OwnershipRules(name, lambda: live, name, lambda: serving).rank("job1")
             for name in self.NAMES
         }
 
--- a/tests/serving/test_residency.py
+++ b/tests/serving/test_residency.py
@@ -8,7 +8,7 @@
 import orjson
 from testtools import TestCase
 
-from mountstand.jobs.owners import Owners
+from mountstand.jobs.owners import OwnershipRules
 from mountstand.membership.caller_addresses import in_regions
 from mountstand.membership.registry import DaemonRow
 from mountstand.platform.operator_rows import decode_configuration
@@ -222,8 +222,8 @@
     def test_jobs_are_adopted_only_in_their_regions(self) -> None:
         zone_by_name = {"a": "n1", "b": "n2", "c": "s1"}
 
-        def owners(name: str) -> Owners:
-            return Owners(
+        def owners(name: str) -> OwnershipRules:
+            return OwnershipRules(
                 name,
                 lambda: {each: each for each in zone_by_name},
                 name,
