--- a/mountstand/jobs/acceptance.py
+++ b/mountstand/jobs/acceptance.py
@@ -14,7 +14,7 @@
 from enum import Enum
 
 from mountstand.jobs.model import JobHead, JobSubmission
-from mountstand.jobs.repository import MAX_JOB_OBJECT_COPIES, JobRepository
+from mountstand.jobs.repository import FALLBACK_OBJECT_COPIES, JobRepository
 from mountstand.store.rows import ABSENT, Conflict, OutcomeUnknown, StoreRefused
 
 REFUSE_AFTER_LATENCY_SHARE = 0.2
@@ -66,7 +66,7 @@
         repository: JobRepository,
         submission: JobSubmission,
         head: JobHead,
-        object_copies: int = MAX_JOB_OBJECT_COPIES,
+        object_copies: int = FALLBACK_OBJECT_COPIES,
     ) -> None:
         self._repository = repository
         self._submission = submission
@@ -143,13 +143,13 @@
 
     async def _write_rows(self) -> StoredJob:
         try:
-            version = await self._repository.submit(self._submission, self._head)
+            version = await self._repository.create(self._submission, self._head)
         except Conflict:
             return StoredJob(None)
         return StoredJob((self._head, version))
 
     async def _write_object(self, copy_index: int) -> StoredJob:
-        name = await self._repository.submit_object(
+        name = await self._repository.put_fallback_object(
             self._submission, copy_index, self._head.accepted_ms
         )
         return StoredJob((replace(self._head, object_name=name), ABSENT))
--- a/mountstand/jobs/reading.py
+++ b/mountstand/jobs/reading.py
@@ -17,7 +17,7 @@
 from mountstand.store.rows import ABSENT
 
 MAX_CACHED_RESULT_BYTES = 16 * 1024 * 1024
-MAX_CACHED_DOCUMENTS = 8
+MAX_CACHED_ITEM_LISTS = 8
 """Cache limits. Cached results and documents are immutable, so they never need invalidation."""
 
 ANY_TENANT = None
@@ -72,14 +72,19 @@
             change_event.set()
 
     async def page(
-        self, job_id: str, after: int, wait_s: float, max_bytes: int, reader_tenant: str | None
+        self,
+        job_id: str,
+        start_position: int,
+        wait_s: float,
+        max_bytes: int,
+        reader_tenant: str | None,
     ) -> ResultPage | None:
-        """Return the results from position ``after`` on, waiting up to ``wait_s`` for the first.
+        """Return the results from position ``start_position`` on, waiting up to ``wait_s`` for the first.
 
         Returns ``None`` if the job does not exist or is not visible to ``reader_tenant``. Raises
         ``StoreError`` if the store cannot be read.
         """
-        cached = self._read_cached_page(job_id, after, max_bytes, reader_tenant)
+        cached = self._read_cached_page(job_id, start_position, max_bytes, reader_tenant)
         if cached is not None:
             return cached
         loop = asyncio.get_running_loop()
@@ -87,11 +92,11 @@
         change_event = self._change_events_by_job_id.setdefault(job_id, asyncio.Event())
         found = await self._repository.load_head(job_id)
         if found is None:
-            return await self._page_without_head_row(job_id, after, reader_tenant)
+            return await self._page_without_head_row(job_id, start_position, reader_tenant)
         head = found[0]
         if not is_visible_to_tenant(reader_tenant, head):
             return None
-        if head.listed <= after and head.is_open and wait_s > 0:
+        if head.listed <= start_position and head.is_open and wait_s > 0:
             try:
                 async with asyncio.timeout_at(deadline_s):
                     await change_event.wait()
@@ -101,7 +106,7 @@
             if found is None:
                 return None
             head = found[0]
-        return await self._read_page(head, after, max_bytes)
+        return await self._read_page(head, start_position, max_bytes)
 
     async def item_body(self, job_id: str, item_id: str, reader_tenant: str | None) -> bytes | None:
         """Return an item's body, or ``None`` if it does not exist or its job is not visible."""
@@ -117,7 +122,7 @@
         found = await self._repository.load_head(job_id)
         if found is not None:
             return found
-        stored_object = await self._repository.load_object_submission(job_id)
+        stored_object = await self._repository.load_fallback_submission(job_id)
         if stored_object is None:
             return None
         name, stored = stored_object
@@ -142,30 +147,30 @@
         return self._parse_document(document) if document is not None else None
 
     def _read_cached_page(
-        self, job_id: str, after: int, max_bytes: int, reader_tenant: str | None
+        self, job_id: str, start_position: int, max_bytes: int, reader_tenant: str | None
     ) -> ResultPage | None:
         head = self._find_cached_head(job_id)
         if head is None or not is_visible_to_tenant(reader_tenant, head):
             return None
-        results = self._cache.contiguous_from(job_id, after, max_bytes)
+        results = self._cache.contiguous_from(job_id, start_position, max_bytes)
         if not results:
             return None
-        return ResultPage(head.total, after + len(results), results)
+        return ResultPage(head.total, start_position + len(results), results)
 
-    async def _read_page(self, head: JobHead, after: int, max_bytes: int) -> ResultPage:
-        if head.listed <= after:
-            return ResultPage(head.total, after, [])
-        positioned_results = await self._repository.load_results(head, after, max_bytes)
+    async def _read_page(self, head: JobHead, start_position: int, max_bytes: int) -> ResultPage:
+        if head.listed <= start_position:
+            return ResultPage(head.total, start_position, [])
+        positioned_results = await self._repository.load_results(head, start_position, max_bytes)
         for position, result in positioned_results:
             self._cache.put(head.job_id, position, result)
         return ResultPage(
             head.total,
-            after + len(positioned_results),
+            start_position + len(positioned_results),
             [result for _, result in positioned_results],
         )
 
     async def _page_without_head_row(
-        self, job_id: str, after: int, reader_tenant: str | None
+        self, job_id: str, start_position: int, reader_tenant: str | None
     ) -> ResultPage | None:
         """Return a page of a job whose head row was not found.
 
@@ -175,14 +180,14 @@
         if running is not None:
             head = running[0]
             return (
-                ResultPage(head.total, after, [])
+                ResultPage(head.total, start_position, [])
                 if is_visible_to_tenant(reader_tenant, head)
                 else None
             )
         found = await self.load_or_build_head(job_id)
         if found is None or not is_visible_to_tenant(reader_tenant, found[0]):
             return None
-        return await self._read_page(found[0], after, 1)
+        return await self._read_page(found[0], start_position, 1)
 
     async def _load_visible_items(
         self, job_id: str, reader_tenant: str | None
@@ -201,6 +206,6 @@
         if items is None:
             return ()
         self._items_by_job_id[job_id] = items
-        while len(self._items_by_job_id) > MAX_CACHED_DOCUMENTS:
+        while len(self._items_by_job_id) > MAX_CACHED_ITEM_LISTS:
             self._items_by_job_id.popitem(last=False)
         return items
--- a/mountstand/jobs/repository.py
+++ b/mountstand/jobs/repository.py
@@ -57,8 +57,8 @@
 Each row written may come with the removal of another, and the head adds one more row.
 """
 
-JOB_OBJECT_PREFIX = "accepted/"
-MAX_JOB_OBJECT_COPIES = 3
+FALLBACK_OBJECT_PREFIX = "accepted/"
+FALLBACK_OBJECT_COPIES = 3
 """Number of copies of a job that may be stored as fallback objects, each under its own name.
 
 Objects are the fallback while the job's partition of the row store rejects writes. A partial outage
@@ -108,18 +108,18 @@
         assert row.value is not None
         return decode_head(job_id, row.value), row.version
 
-    async def load_object_submission(self, job_id: str) -> tuple[str, StoredSubmission] | None:
+    async def load_fallback_submission(self, job_id: str) -> tuple[str, StoredSubmission] | None:
         """Return the object name and submission of a job stored as an object, or ``None``."""
-        for copy_index in range(MAX_JOB_OBJECT_COPIES):
-            name = job_object_name(job_id, copy_index)
+        for copy_index in range(FALLBACK_OBJECT_COPIES):
+            name = fallback_object_name(job_id, copy_index)
             value = await self._objects.get_object(name)
             if value is not None:
                 return name, decode_submission(value)
         return None
 
-    async def list_object_job_ids(self) -> list[str]:
+    async def list_fallback_object_job_ids(self) -> list[str]:
         """Return the sorted ids of the jobs that are stored as objects."""
-        names = await self._objects.list_objects(JOB_OBJECT_PREFIX)
+        names = await self._objects.list_objects(FALLBACK_OBJECT_PREFIX)
         return sorted({name.split("/", 2)[2] for name in names})
 
     async def load_document(self, head: JobHead) -> bytes | None:
@@ -133,14 +133,14 @@
         return zlib.decompress(b"".join(chunks)) if chunks else None
 
     async def load_results(
-        self, head: JobHead, after: int, max_bytes: int
+        self, head: JobHead, start_position: int, max_bytes: int
     ) -> list[tuple[int, ItemResult]]:
-        """Return positions and results from ``after`` on, up to ``max_bytes``.
+        """Return positions and results from ``start_position`` on, up to ``max_bytes``.
 
-        Returns at least one result, whatever its size, if ``after`` is below ``head.listed``.
+        Returns at least one result, whatever its size, if ``start_position`` is below ``head.listed``.
         """
         job_id = head.job_id
-        first = f"{job_id}/{after:06d}/"
+        first = f"{job_id}/{start_position:06d}/"
         end = f"{job_id}/{head.listed:06d}/"
         page = await self.rows.read(RESULTS_TABLE, partition_of(job_id), first, end)
         chunks_by_position: dict[int, list[bytes]] = {}
@@ -152,14 +152,18 @@
             chunks_by_position.popitem()
         elif page.more:
             rest = await read_all(
-                self.rows, RESULTS_TABLE, partition_of(job_id), first, f"{job_id}/{after + 1:06d}/"
+                self.rows,
+                RESULTS_TABLE,
+                partition_of(job_id),
+                first,
+                f"{job_id}/{start_position + 1:06d}/",
             )
-            chunks_by_position = {after: [row.value or b"" for row in rest.rows]}
-        return _decode_consecutive(chunks_by_position, after, max_bytes)
+            chunks_by_position = {start_position: [row.value or b"" for row in rest.rows]}
+        return _decode_consecutive(chunks_by_position, start_position, max_bytes)
 
     # Writing
 
-    async def submit(self, submission: JobSubmission, head: JobHead) -> int:
+    async def create(self, submission: JobSubmission, head: JobHead) -> int:
         """Store a new job and return its version.
 
         Raises ``Conflict`` if the job already exists.
@@ -179,7 +183,7 @@
         transaction.puts.append((self._head_key(head.job_id), head.encode()))
         return await self.rows.commit(transaction)
 
-    async def submit_object(
+    async def put_fallback_object(
         self, submission: JobSubmission, copy_index: int, accepted_ms: int
     ) -> str:
         """Store one copy of a new job as an object and return the object's name.
@@ -187,7 +191,7 @@
         The job is accepted as soon as the object is stored. The first update of its head creates
         the head row.
         """
-        name = job_object_name(submission.job_id, copy_index)
+        name = fallback_object_name(submission.job_id, copy_index)
         await self._objects.put_object(name, encode_submission(submission, accepted_ms))
         return name
 
@@ -256,8 +260,8 @@
             await self._delete_range(DOCUMENTS_TABLE, head.job_id)
             return
         await self._objects.drop_object(head.object_name)
-        for copy_index in range(MAX_JOB_OBJECT_COPIES):
-            await self._objects.drop_object(job_object_name(head.job_id, copy_index))
+        for copy_index in range(FALLBACK_OBJECT_COPIES):
+            await self._objects.drop_object(fallback_object_name(head.job_id, copy_index))
 
     async def delete(self, head: JobHead, version: int) -> None:
         """Delete the document, results, progress and head of a job.
@@ -297,14 +301,14 @@
             await self.rows.commit(Transaction(removals=keys[start : start + MAX_WRITE_ROWS]))
 
 
-def job_object_name(job_id: str, copy_index: int) -> str:
+def fallback_object_name(job_id: str, copy_index: int) -> str:
     """Return the object name of one copy of a job.
 
     The hash differs between copies and comes early in the name, because an object store may place
     objects by name prefix.
     """
     hash_prefix = hashlib.blake2b(f"{job_id}/{copy_index}".encode(), digest_size=4).hexdigest()
-    return f"{JOB_OBJECT_PREFIX}{hash_prefix}/{job_id}"
+    return f"{FALLBACK_OBJECT_PREFIX}{hash_prefix}/{job_id}"
 
 
 def _key_range(job_id: str) -> tuple[str, str]:
@@ -316,9 +320,9 @@
 
 
 def _decode_consecutive(
-    chunks_by_position: dict[int, list[bytes]], after: int, max_bytes: int
+    chunks_by_position: dict[int, list[bytes]], start_position: int, max_bytes: int
 ) -> list[tuple[int, ItemResult]]:
-    """Decode results from ``after`` on, up to the first gap or until ``max_bytes`` is reached."""
+    """Decode results from ``start_position`` on, up to the first gap or until ``max_bytes`` is reached."""
     found: list[tuple[int, ItemResult]] = []
     size = 0
     for position in sorted(chunks_by_position):
@@ -326,7 +330,7 @@
         size += len(value)
         if found and size > max_bytes:
             break
-        if position != after + len(found):
+        if position != start_position + len(found):
             break
         found.append((position, decode_result(value)))
     return found
--- a/mountstand/jobs/service.py
+++ b/mountstand/jobs/service.py
@@ -17,7 +17,7 @@
 from mountstand.jobs.owners import OwnershipRules
 from mountstand.jobs.quota import TokenQuota
 from mountstand.jobs.reading import ANY_TENANT, JobReader, ResultPage, is_visible_to_tenant
-from mountstand.jobs.repository import MAX_JOB_OBJECT_COPIES, JobRepository, new_write_id
+from mountstand.jobs.repository import FALLBACK_OBJECT_COPIES, JobRepository, new_write_id
 from mountstand.jobs.runner import JobRunner
 from mountstand.serving.configuration import Route
 from mountstand.store.rows import Conflict, StoreError, StoreRefused
@@ -46,7 +46,7 @@
 class JobService:
     """Manages the batch jobs of one daemon.
 
-    ``retention_s`` returns the age since acceptance, in seconds, at which a job that is not open
+    ``retention_s_for`` returns the age since acceptance, in seconds, at which a job that is not open
     is deleted.
     """
 
@@ -55,12 +55,12 @@
         context: RunnerContext,
         owners: OwnershipRules,
         parse_document: Callable[[bytes], tuple[JobItem, ...]],
-        retention_s: Callable[[JobHead], float],
+        retention_s_for: Callable[[JobHead], float],
     ) -> None:
         self._context = context
         self._repository: JobRepository = context.repository
         self._owners = owners
-        self._retention_s = retention_s
+        self._retention_s = retention_s_for
         self._heads: dict[str, tuple[JobHead, int]] = {}
         self._runners: dict[str, JobRunner] = {}
         self._tasks: set[asyncio.Task[None]] = set()
@@ -131,7 +131,7 @@
             if stored.head_and_version is not None:
                 self._start_runner(*stored.head_and_version, submission.items)
 
-        copies = 0 if self._is_region_bound(route, submission.tenant) else MAX_JOB_OBJECT_COPIES
+        copies = 0 if self._is_region_bound(route, submission.tenant) else FALLBACK_OBJECT_COPIES
         acceptance = JobAcceptance(self._repository, submission, head, copies)
         outcome = await acceptance.run(route.target_latency_s, deadline_s, start_if_new)
         if already_existed and submission.tenant:
@@ -142,13 +142,13 @@
     async def read(
         self,
         job_id: str,
-        after: int,
+        start_position: int,
         wait_s: float,
         max_bytes: int,
         reader_tenant: str | None = ANY_TENANT,
     ) -> ResultPage | None:
         """Return a page of results; see :meth:`JobReader.page`."""
-        return await self._job_reader.page(job_id, after, wait_s, max_bytes, reader_tenant)
+        return await self._job_reader.page(job_id, start_position, wait_s, max_bytes, reader_tenant)
 
     async def item_body(
         self, job_id: str, item_id: str, reader_tenant: str | None = ANY_TENANT
@@ -245,7 +245,7 @@
         try:
             job_ids_without_head = [
                 job_id
-                for job_id in await self._repository.list_object_job_ids()
+                for job_id in await self._repository.list_fallback_object_job_ids()
                 if job_id not in self._heads and await self._repository.load_head(job_id) is None
             ]
             confirmed_job_ids = [
