--- a/mountstand/engines/http_backend.py
+++ b/mountstand/engines/http_backend.py
@@ -25,7 +25,7 @@
     BackendAnswer,
     BackendPort,
     BackendRequest,
-    CacheChange,
+    CacheEvent,
     CallerGone,
     LoadFigures,
     LoadModelOrder,
@@ -224,10 +224,10 @@
         except TypeError as problem:
             raise BackendFailed(f"{machine.machine_id}: load report: {problem}") from None
 
-    def cache_changes(self, machine: Machine, after: int) -> tuple[list[CacheChange], int]:
+    def cache_events(self, machine: Machine, after: int) -> tuple[list[CacheEvent], int]:
         """Return cache changes numbered over ``after`` and the highest number covered."""
         report = self._get_json(machine, f"/cache_events?after={after}")
-        return [CacheChange(**event) for event in report["events"]], int(report["last"])
+        return [CacheEvent(**event) for event in report["events"]], int(report["last"])
 
     def order_load_model(self, machine: Machine, order: LoadModelOrder) -> bool:
         """Give a fenced order; return ``False`` when the engine has seen a higher epoch."""
--- a/mountstand/engines/port.py
+++ b/mountstand/engines/port.py
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True)
-class CacheChange:
+class CacheEvent:
     """A prefix block that entered (``stored``) or left an engine's cache."""
 
     sequence_number: int
@@ -146,7 +146,7 @@
         """Return the back end's load report."""
 
     @abstractmethod
-    def cache_changes(self, machine: Machine, after: int) -> tuple[list[CacheChange], int]:
+    def cache_events(self, machine: Machine, after: int) -> tuple[list[CacheEvent], int]:
         """Return cache changes numbered over ``after`` and the highest number covered."""
 
     @abstractmethod
--- a/mountstand/routing/observer.py
+++ b/mountstand/routing/observer.py
@@ -124,11 +124,11 @@
     def _poll_cache(self, machine: Machine) -> None:
         after_number = self._last_cache_event_numbers.get(machine.machine_id, 0)
         try:
-            changes, last_number = self._backend.cache_changes(machine, after_number)
+            changes, last_number = self._backend.cache_events(machine, after_number)
         except MountstandError:
             return
         self._last_cache_event_numbers[machine.machine_id] = last_number
-        self._router.record_cache_changes(machine.machine_id, changes)
+        self._router.record_cache_events(machine.machine_id, changes)
 
 
 def circular_slice(machines: list[Machine], start: int, count: int) -> list[Machine]:
--- a/mountstand/routing/router.py
+++ b/mountstand/routing/router.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 
 from mountstand.clock import elapsed_s
-from mountstand.engines.port import CacheChange, LoadFigures, LoadReport
+from mountstand.engines.port import CacheEvent, LoadFigures, LoadReport
 from mountstand.routing.chooser import RouteRequest, WorkerChooser
 from mountstand.routing.fleet_view import DispatchOutcome, FleetView
 from mountstand.store.ports import Machine, MachineRole
@@ -97,7 +97,7 @@
             if worker is not None:
                 worker.health.record_failure(elapsed_s())
 
-    def record_cache_changes(self, worker_id: str, changes: Iterable[CacheChange]) -> None:
+    def record_cache_events(self, worker_id: str, changes: Iterable[CacheEvent]) -> None:
         """Apply the cache events of one worker to the prefix index."""
         with self._lock:
             index = self._chooser.prefix_index
