--- a/mountstand/jobs/acceptance.py
+++ b/mountstand/jobs/acceptance.py
@@ -1,9 +1,9 @@
 """Stores a submitted job durably before it is acknowledged.
 
-The job is written to its rows. If that write fails or is slow, the job is also written as objects,
-and further writes are started beside those still pending, since the store may recover long before
-the pending ones time out. All writes store the same job, and the first to succeed accepts it. The
-job is refused only if none of the writes can have taken effect.
+The job is written to its rows. If that write fails or is slow, the job is also written to fallback
+objects, and further writes are started beside those still pending, since the store may recover long
+before the pending ones time out. All writes store the same job, and the first to succeed accepts
+it. The job is refused only if none of the writes can have taken effect.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 """Share of the target latency after which a job is refused if the store rejected all writes."""
 
 OBJECT_FALLBACK_DELAY_S = 0.25
-"""How long the first row write may take before object writes are started beside it."""
+"""How long the first row write may take before fallback objects are written beside it."""
 
 HEDGE_INTERVAL_S = 0.7
 """How long to wait for pending writes before the next round of writes starts beside them."""
@@ -33,7 +33,8 @@
 class SubmitOutcome(Enum):
     """Outcome of a submission.
 
-    After ``OUTCOME_UNKNOWN``, the job may or may not be stored.
+    ``REFUSED`` means that this submission did not store the job. After ``OUTCOME_UNKNOWN``, the job
+    may or may not be stored.
     """
 
     ACCEPTED = "accepted"
@@ -47,8 +48,8 @@
 class StoredJob:
     """A durable job.
 
-    ``head_and_version`` is its head and version (``ABSENT`` if stored as an object), or ``None`` if its rows
-    already existed, possibly from an earlier write of this submission.
+    The version is ``ABSENT`` if the job is in a fallback object. ``head_and_version`` is ``None``
+    if the job's rows already existed, possibly from an earlier write of this submission.
     """
 
     head_and_version: tuple[JobHead, int] | None
@@ -57,7 +58,7 @@
 class JobAcceptance:
     """Writes one submission to the store until a write succeeds.
 
-    ``object_copies`` is the number of object copies that each round writes, each under its own
+    ``object_copies`` is the number of fallback objects that each round writes, each under its own
     name.
     """
 
@@ -82,11 +83,12 @@
 
         ``deadline_s`` is in event loop time. ``on_stored`` is called once if the job is accepted.
         Writes still pending on return are not cancelled; they store the same job, so they are
-        harmless. Raises any error other than ``OutcomeUnknown`` and ``StoreRefused``.
+        harmless. A write may fail with ``OutcomeUnknown`` or ``StoreRefused`` (the store rejected
+        it); any other error is raised.
         """
         loop = asyncio.get_running_loop()
         refuse_at_s = min(deadline_s, loop.time() + target_latency_s * REFUSE_AFTER_LATENCY_SHARE)
-        objects_started = False
+        fallback_started = False
         timeout_s = OBJECT_FALLBACK_DELAY_S
         self._start_write(self._write_rows())
         while True:
@@ -104,11 +106,11 @@
                 return SubmitOutcome.REFUSED
             if loop.time() >= deadline_s:
                 return SubmitOutcome.OUTCOME_UNKNOWN
-            if objects_started:
+            if fallback_started:
                 self._start_write(self._write_rows())
             for copy_index in range(self._object_copies):
-                self._start_write(self._write_object(copy_index))
-            objects_started = True
+                self._start_write(self._write_fallback_object(copy_index))
+            fallback_started = True
             timeout_s = HEDGE_INTERVAL_S
             await asyncio.sleep(ROUND_PAUSE_S)
 
@@ -148,7 +150,7 @@
             return StoredJob(None)
         return StoredJob((self._head, version))
 
-    async def _write_object(self, copy_index: int) -> StoredJob:
+    async def _write_fallback_object(self, copy_index: int) -> StoredJob:
         name = await self._repository.put_fallback_object(
             self._submission, copy_index, self._head.accepted_ms
         )
--- a/mountstand/jobs/item_execution.py
+++ b/mountstand/jobs/item_execution.py
@@ -42,10 +42,14 @@
     item: JobItem
     texts: list[str] = field(default_factory=list)
     last_event_id: int | None = None
+    """ID of the last complete event; the next attempt resumes after it."""
+
     failures: int = 0
     """Number of ``WORKER_ERROR_STATUS`` responses; broken streams do not count."""
 
     preempted: bool = False
+    """Whether the latest attempt was preempted; reset before the next attempt."""
+
     connection: ClientConnection | None = None
     call: Call | None = None
     """The request to workers, cached because hashing its content reads the whole body."""
@@ -130,6 +134,7 @@
                 progress, route, worker, progress.connection, pending_prefill
             )
         except (ConnectFailed, ReplyBroken, TimeoutError) as error:
+            # A TimeoutError has no text.
             cause = "preempted" if progress.preempted else str(error) or "silent"
             if isinstance(error, ReplyBroken) and progress.connection is not None:
                 self._context.connections.note_broken(progress.connection)
@@ -154,6 +159,7 @@
         context = self._context
         loop = asyncio.get_running_loop()
         call = self._call(progress)
+        # False while the worker's cold-start rate limit allows no further request.
         if not worker.admit_send(loop.time()):
             self._log_failed_attempt(progress, worker, "worker cold")
             context.metrics.send_withheld()
--- a/mountstand/jobs/owners.py
+++ b/mountstand/jobs/owners.py
@@ -16,8 +16,8 @@
     """Ownership rules for jobs, as seen from this daemon.
 
     ``live_tokens`` returns the process tokens of live daemons by daemon name, and ``serving_names``
-    the names of daemons that serve callers. ``is_in_regions`` returns whether the named daemon is
-    in one of the given regions.
+    the names of the daemons that currently handle client requests. ``is_in_regions`` returns
+    whether the named daemon is in one of the given regions.
     """
 
     def __init__(
@@ -45,10 +45,10 @@
     def rank(self, job_id: str, regions: Regions | None = ANYWHERE) -> int:
         """Return this daemon's position, from 0, in the order in which daemons adopt a job.
 
-        Only live daemons in ``regions`` are ranked, by rendezvous hashing. Daemons that serve
-        callers rank before all others, because they know best which slots are free. Others receive
-        load information rarely and would adopt jobs after a power loss. ``None`` for ``regions``
-        means no restriction.
+        Only live daemons in ``regions`` are ranked, by rendezvous hashing; ``None`` means no
+        restriction. Daemons that handle client requests rank before all others, because they know
+        best which slots are free. Without this preference, jobs adopted after a power loss would
+        go to daemons that receive load information rarely.
         """
         names = set(self._live_tokens()) | {self._own_name}
         if regions is not None:
--- a/mountstand/jobs/quota.py
+++ b/mountstand/jobs/quota.py
@@ -1,8 +1,8 @@
 """Limits the waiting tokens of each tenant on a route, across all daemons.
 
 Waiting tokens are those of items whose results are not listed yet. The bound is configured per
-route and applies to each tenant separately. Where callers need no key, all callers count as one
-tenant.
+route and applies to each tenant separately. All jobs submitted without an API key share one bound,
+as if they were of one tenant.
 
 Every daemon sees the heads of all jobs with some delay. Far below a route's bound, that view is
 accurate enough. Near the bound, a daemon first reserves a job's tokens by a conditional write to
--- a/mountstand/jobs/runner.py
+++ b/mountstand/jobs/runner.py
@@ -1,7 +1,7 @@
 """Runs the items of one batch job and lists their results.
 
 Listing a result commits it to the job's head row, which also names the one process that owns the
-job. A job is open until it is ended or all its results are listed.
+job. A job is open until a caller cancels it (``ended`` in its head) or all its results are listed.
 
 Items run only in worker slots that online requests leave idle. When an online request needs the
 slot, the item's connection is closed and the item resumes at another worker after its last complete
@@ -40,7 +40,7 @@
 
 
 class JobRunner:
-    """Runs one job until it completes, is ended, gets another owner or is released."""
+    """Runs one job until it is no longer open, gets another owner or is released."""
 
     def __init__(
         self,
@@ -96,7 +96,7 @@
         self._wake_event.set()
 
     def handle_head(self, head: JobHead, version: int) -> None:
-        """Handle a head from the store feed: stop if the job has ended or has another owner."""
+        """Handle a head from the store feed: stop if the job is cancelled or has another owner."""
         if version <= self._version:
             return
         if head.ended or head.owner != self.head.owner:
@@ -117,7 +117,7 @@
     # Listing
 
     async def _list_results(self) -> None:
-        """List results until the job closes or the run stops.
+        """List results until the job is no longer open or the run stops.
 
         A job that was accepted as an object has no head row yet (version ``ABSENT``), so its first
         write creates the row even if no result is finished.
@@ -327,7 +327,7 @@
         return configuration.regions_for(route, self.head.tenant)
 
     def _store_view_is_fresh(self) -> bool:
-        """Return whether the store view is so recent that an end of the job would be visible."""
+        """Return whether the store view is recent enough to show a cancellation or a new owner."""
         return self._context.store_age_s() <= self._context.max_store_age_s()
 
     def _urgency(self, route: Route, service: str, progress: ItemProgress) -> Urgency:
