--- a/mountstand/jobs/model.py
+++ b/mountstand/jobs/model.py
@@ -23,7 +23,11 @@
 class JobItem:
     """One item of a job: an inference request to be sent to a worker.
 
-    ``tokens`` counts towards the limit of waiting tokens until the item is listed.
+    Attributes:
+        target: HTTP request target; it selects the item's route and is sent to the worker.
+        prompt: Parts of the prompt, as the caller declared them in a header of the item.
+        tokens: Tokens that the caller declared for the item. They count towards the tenant's quota
+            of waiting tokens on the route until the item is listed.
     """
 
     item_id: str
@@ -38,8 +42,9 @@
 class JobSubmission:
     """A job as submitted.
 
-    ``document`` is the unparsed request body. It is stored so that a daemon that adopts the job
-    can parse the items again.
+    ``host`` and ``path`` are those of the submitting request. They select the route that sets the
+    job's quota, retention time and regions. ``document`` is the unparsed request body. It is stored
+    so that a daemon that adopts the job can parse the items again.
     """
 
     job_id: str
@@ -81,7 +86,9 @@
         listed: Number of items whose result is listed.
         done: Bit set of the listed items, by their index in the submission.
         ended: Whether a caller cancelled the job.
-        object_name: Object that holds the document; empty if the document is stored in rows.
+        object_name: Object that holds the document, either a fallback object or a document object
+            (see :class:`~mountstand.jobs.repository.JobRepository`); empty if the document is
+            stored in rows.
         waiting_tokens: Tokens of the items that are not listed yet.
         tenant: Tenant that the job belongs to; empty if it was submitted without an API key.
     """
@@ -170,7 +177,7 @@
 
 @dataclass(frozen=True)
 class StoredSubmission:
-    """A submission as read back from the object store."""
+    """A submission as read back from a fallback object or a document object."""
 
     host: str
     path: str
--- a/mountstand/jobs/reading.py
+++ b/mountstand/jobs/reading.py
@@ -18,7 +18,10 @@
 
 MAX_CACHED_RESULT_BYTES = 16 * 1024 * 1024
 MAX_CACHED_ITEM_LISTS = 8
-"""Cache limits. Cached results and documents are immutable, so they never need invalidation."""
+"""Limits of the caches of results and of the items parsed from a job's document.
+
+Both are immutable, so the caches need no invalidation.
+"""
 
 ANY_TENANT = None
 """The reader's tenant where callers need no API key; such a reader sees every job."""
@@ -79,7 +82,7 @@
         max_bytes: int,
         reader_tenant: str | None,
     ) -> ResultPage | None:
-        """Return the results from position ``start_position`` on, waiting up to ``wait_s`` for the first.
+        """Return the results from ``start_position`` on, waiting up to ``wait_s`` for the first.
 
         Returns ``None`` if the job does not exist or is not visible to ``reader_tenant``. Raises
         ``StoreError`` if the store cannot be read.
@@ -116,8 +119,8 @@
     async def load_or_build_head(self, job_id: str) -> tuple[JobHead, int] | None:
         """Return a job's head and its version, or ``None`` if there is no such job.
 
-        For a job that is stored only as an object, the head is built from the object and the
-        version is ``ABSENT``.
+        For a job without a head row, the head is built from a fallback object and the version is
+        ``ABSENT``.
         """
         found = await self._repository.load_head(job_id)
         if found is not None:
@@ -174,7 +177,8 @@
     ) -> ResultPage | None:
         """Return a page of a job whose head row was not found.
 
-        The page has no results, unless the row has appeared since; then it has at most one.
+        The page has no results, unless the row has appeared since. Then it has at most one result,
+        because ``max_bytes`` is 1.
         """
         running = self._find_running_job(job_id)
         if running is not None:
--- a/mountstand/jobs/repository.py
+++ b/mountstand/jobs/repository.py
@@ -59,10 +59,10 @@
 
 FALLBACK_OBJECT_PREFIX = "accepted/"
 FALLBACK_OBJECT_COPIES = 3
-"""Number of copies of a job that may be stored as fallback objects, each under its own name.
+"""Number of fallback objects that may be written for a job, each under its own name.
 
-Objects are the fallback while the job's partition of the row store rejects writes. A partial outage
-of the object store affects only some names, so at least one of them is usually writable.
+A partial outage of the object store affects only some names, so at least one of them is usually
+writable.
 """
 
 BASE64_PAYLOAD_RATIO = 3 / 4
@@ -84,9 +84,13 @@
 
 
 class JobRepository:
-    """Stores batch jobs in the row store, or as objects where the row store rejects them.
+    """Stores batch jobs in the row store, and in objects where rows cannot hold them.
+
+    *Fallback objects* are copies of a whole submission, written if the job's partition of the row
+    store rejects the write or does not answer in time. A job stored only in fallback objects has no
+    head row until its head is first updated. A *document object* holds a document that is too large
+    for one transaction; its job has a head row.
 
-    A document too large for one transaction is also stored as an object; its job has a head row.
     ``row_bytes`` limits the base64 form of a row's value.
 
     Raises the errors of :mod:`mountstand.store.rows`.
@@ -109,7 +113,7 @@
         return decode_head(job_id, row.value), row.version
 
     async def load_fallback_submission(self, job_id: str) -> tuple[str, StoredSubmission] | None:
-        """Return the object name and submission of a job stored as an object, or ``None``."""
+        """Return a job's first readable fallback object, as name and submission, or ``None``."""
         for copy_index in range(FALLBACK_OBJECT_COPIES):
             name = fallback_object_name(job_id, copy_index)
             value = await self._objects.get_object(name)
@@ -118,7 +122,7 @@
         return None
 
     async def list_fallback_object_job_ids(self) -> list[str]:
-        """Return the sorted ids of the jobs that are stored as objects."""
+        """Return the sorted ids of the jobs that have fallback objects."""
         names = await self._objects.list_objects(FALLBACK_OBJECT_PREFIX)
         return sorted({name.split("/", 2)[2] for name in names})
 
@@ -137,7 +141,8 @@
     ) -> list[tuple[int, ItemResult]]:
         """Return positions and results from ``start_position`` on, up to ``max_bytes``.
 
-        Returns at least one result, whatever its size, if ``start_position`` is below ``head.listed``.
+        If ``start_position`` is below ``head.listed``, returns at least one result, whatever its
+        size.
         """
         job_id = head.job_id
         first = f"{job_id}/{start_position:06d}/"
@@ -151,6 +156,7 @@
             # The last result of a truncated page may be incomplete.
             chunks_by_position.popitem()
         elif page.more:
+            # A single result is larger than a page: read all of its rows.
             rest = await read_all(
                 self.rows,
                 RESULTS_TABLE,
@@ -172,6 +178,8 @@
         job_partition = partition_of(head.job_id)
         transaction = Transaction(conditions=[(self._head_key(head.job_id), ABSENT)])
         if len(compressed) > MAX_WRITE_BYTES:
+            # The name lies outside FALLBACK_OBJECT_PREFIX: a document object alone is not an
+            # accepted job, so the scan for fallback objects must not find it.
             name = f"{head.job_id}-{head.write_id}"
             value = encode_submission(submission, head.accepted_ms)
             await self._objects.put_object(name, value)
@@ -186,7 +194,7 @@
     async def put_fallback_object(
         self, submission: JobSubmission, copy_index: int, accepted_ms: int
     ) -> str:
-        """Store one copy of a new job as an object and return the object's name.
+        """Write one fallback object of a new job and return the object's name.
 
         The job is accepted as soon as the object is stored. The first update of its head creates
         the head row.
@@ -233,7 +241,7 @@
     ) -> int:
         """Write ``head`` if the stored head is still at ``version``, and append ``results``.
 
-        The version ``ABSENT`` creates the head row.
+        The version ``ABSENT`` creates the head row, provided that none exists.
 
         ``head`` already counts ``results``. ``indices_with_progress`` are the items with saved
         progress; the same transaction deletes the progress of those in ``results``. Returns the
@@ -255,7 +263,7 @@
         return await self.rows.commit(transaction)
 
     async def delete_document(self, head: JobHead) -> None:
-        """Delete the document of a job: its rows, or its objects if it is stored as an object."""
+        """Delete a job's document: its rows, or all objects if ``head.object_name`` is set."""
         if not head.object_name:
             await self._delete_range(DOCUMENTS_TABLE, head.job_id)
             return
@@ -302,7 +310,7 @@
 
 
 def fallback_object_name(job_id: str, copy_index: int) -> str:
-    """Return the object name of one copy of a job.
+    """Return the name of one of a job's fallback objects.
 
     The hash differs between copies and comes early in the name, because an object store may place
     objects by name prefix.
@@ -322,7 +330,7 @@
 def _decode_consecutive(
     chunks_by_position: dict[int, list[bytes]], start_position: int, max_bytes: int
 ) -> list[tuple[int, ItemResult]]:
-    """Decode results from ``start_position`` on, up to the first gap or until ``max_bytes`` is reached."""
+    """Decode results from ``start_position`` on, up to the first gap or ``max_bytes``."""
     found: list[tuple[int, ItemResult]] = []
     size = 0
     for position in sorted(chunks_by_position):
--- a/mountstand/jobs/service.py
+++ b/mountstand/jobs/service.py
@@ -34,7 +34,7 @@
 
 OBJECT_SCAN_INTERVAL_S = 3.0
 OBJECT_SCAN_RANK_KEY = "object scan"
-"""Interval and ranking key of the scan for jobs that are stored only as objects.
+"""Interval and ranking key of the scan for jobs that are stored only as fallback objects.
 
 Only the daemon that ranks first for the key scans.
 """
@@ -46,8 +46,8 @@
 class JobService:
     """Manages the batch jobs of one daemon.
 
-    ``retention_s_for`` returns the age since acceptance, in seconds, at which a job that is not open
-    is deleted.
+    ``retention_s_for`` returns the age since acceptance, in seconds, at which a job that is not
+    open is deleted.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self._context = context
         self._repository: JobRepository = context.repository
         self._owners = owners
-        self._retention_s = retention_s_for
+        self._retention_s_for = retention_s_for
         self._heads: dict[str, tuple[JobHead, int]] = {}
         self._runners: dict[str, JobRunner] = {}
         self._tasks: set[asyncio.Task[None]] = set()
@@ -200,6 +200,7 @@
         if runner is not None:
             runner.handle_head(head, version)
         self._job_reader.notify_change(head.job_id)
+        # Nobody owns the job, so its adoption need not wait for the next scan.
         if head.is_open and not head.owner:
             self._adopt_if_orphaned(head, version)
 
@@ -212,6 +213,7 @@
         return (runner.head, runner.items) if runner is not None else None
 
     def _cached_version(self, job_id: str) -> int:
+        """Return the version of a job's cached head, or 0 (``ABSENT``) if none is cached."""
         cached = self._heads.get(job_id)
         return cached[1] if cached is not None else 0
 
@@ -231,15 +233,17 @@
             self._context.metrics.jobs_owned(len(self._runners))
 
     async def _adopt_orphaned_objects(self) -> None:
-        """Adopt jobs that are stored only as objects and whose daemon has gone.
+        """Adopt jobs that are stored only as fallback objects and whose daemon has gone.
 
         A live daemon that accepted such a job writes the head row as soon as the store accepts
         writes. A job is therefore adopted only if two consecutive scans find it without a head row.
+        If the store fails, a later scan tries again.
         """
         now_s = asyncio.get_running_loop().time()
         if self._draining or now_s < self._next_object_scan_s:
             return
         self._next_object_scan_s = now_s + OBJECT_SCAN_INTERVAL_S
+        # A rank other than 0 means that another daemon ranks first and scans.
         if self._owners.rank(OBJECT_SCAN_RANK_KEY):
             return
         try:
@@ -260,6 +264,11 @@
             return
 
     def _adopt_if_orphaned(self, head: JobHead, version: int) -> None:
+        """Adopt an open job without a live owner, after a delay given by this daemon's rank.
+
+        A job that this process owns but does not run counts as orphaned. Its adoption may have
+        taken effect without a reply, or the saved progress could not be loaded.
+        """
         job_id = head.job_id
         if self._draining or job_id in self._runners or job_id in self._adopting_job_ids:
             return
@@ -354,8 +363,8 @@
     def _is_region_bound(self, route: Route, tenant: str) -> bool:
         """Return whether a job may be served only in some regions.
 
-        Such a job has no fallback objects, because the daemon that scans for objects reads all
-        of them, whatever its region. Without a configuration, every job counts as region-bound.
+        Such a job gets no fallback objects, because the daemon that scans for them reads all of
+        them, whatever its region. Without a configuration, every job counts as region-bound.
         """
         configuration = self._context.configuration()
         return configuration is None or configuration.regions_for(route, tenant) is not None
@@ -381,7 +390,7 @@
         """
         try:
             age_s = (self._context.store_now_ms() - head.accepted_ms) / 1000
-            if age_s < self._retention_s(head) or self._owners.rank(head.job_id):
+            if age_s < self._retention_s_for(head) or self._owners.rank(head.job_id):
                 return
             await self._repository.delete(head, version)
             self._context.log.event(
--- a/tests/jobs/test_jobs.py
+++ b/tests/jobs/test_jobs.py
@@ -20,7 +20,7 @@
 from mountstand.serving.configuration import Configuration, RequestKind
 from mountstand.serving.slot_demand import WaitingCounts
 from mountstand.store.memory_rows import MemoryRowStore
-from mountstand.store.rows import RowKey, StoreError, StoreRefused, Transaction
+from mountstand.store.rows import StoreError, StoreRefused, Transaction
 from mountstand.store.watch import TableWatcher
 from tests.stand_ins.harness import HOST, Fleet, configuration, eventually, route, run
 from tests.stand_ins.worker import Answer, StandInWorker, event, reset, silence, stream, whole
@@ -364,7 +364,7 @@
 
         self.run_scenario(work, (stream(4),))
 
-    def test_job_is_stored_as_an_object_if_its_partition_rejects_writes(self) -> None:
+    def test_job_is_stored_as_fallback_object_if_its_partition_rejects_writes(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             other = self.daemon("d2")
@@ -380,7 +380,7 @@
 
         self.run_scenario(work, (stream(4),))
 
-    def test_region_bound_job_is_refused_rather_than_stored_as_an_object(self) -> None:
+    def test_region_bound_job_is_refused_rather_than_stored_as_fallback_object(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             region_bound = replace(BATCH, regions=frozenset({"north"}))
@@ -410,7 +410,7 @@
 
         self.run_scenario(work, (silence,))
 
-    def test_job_stored_as_an_object_is_adopted_after_its_daemon_dies(self) -> None:
+    def test_job_stored_as_fallback_object_is_adopted_after_its_daemon_dies(self) -> None:
         async def work() -> None:
             daemon = self.daemon()
             other = self.daemon("d2")
@@ -424,7 +424,7 @@
         self.run_scenario(work, (stream(4),))
 
     def test_row_write_and_object_write_of_a_job_make_one_job(self) -> None:
-        """A row write takes effect but loses its reply, so the job is also stored as an object."""
+        """A row write takes effect but loses its reply, so fallback objects are written too."""
 
         async def work() -> None:
             daemon = self.daemon()
@@ -465,9 +465,8 @@
             first, second = self.daemon("d1"), self.daemon("d2")
             await second.watcher.loaded.wait()
             await first.submit(submission(items=1))
-            saved = RowKey("job_progress", "", "")
             await eventually(
-                lambda: any(key.table == saved.table for key in self.store.rows),
+                lambda: any(key.table == "job_progress" for key in self.store.rows),
                 "progress is saved",
             )
             first.kill()
@@ -590,13 +589,15 @@
             daemon = self.daemon()
             await daemon.submit(submission())
             await daemon.wait_for_results(3)
-            daemon.jobs._retention_s = lambda head: -1.0
+            daemon.jobs._retention_s_for = lambda head: -1.0
             await eventually(lambda: not self.store.rows, "all rows of the expired job are deleted")
 
         self.run_scenario(work, (stream(4),))
 
 
 class HelperTest(TestCase):
-    def test_event_and_transaction_helpers(self) -> None:
+    """The stand-in worker's event helper and the defaults of a transaction."""
+
+    def test_stand_in_event_has_its_id_and_new_transaction_writes_nothing(self) -> None:
         self.assertIn(b"id: 3", event(3))
         self.assertEqual([], Transaction().puts)
