--- a/mountstand/routing/chooser.py
+++ b/mountstand/routing/chooser.py
@@ -1,9 +1,10 @@
 """Zone-aware, prefix-aware selection of the worker for one request.
 
 Workers in the daemon's home zone are preferred until even the least loaded of them reaches
-``SPILL_LOAD_THRESHOLD``; from then on workers in all zones are considered. Among those, the worker
-holding the longest cached prompt prefix is chosen unless its load is too far above the mean.
-Otherwise the less loaded of two randomly sampled workers is chosen (power of two choices).
+``SPILL_LOAD_THRESHOLD``; from then on workers in all zones are considered. Among the workers
+considered, the one holding the longest cached prompt prefix is chosen. Workers whose load is too
+far above the mean are not chosen for their prefix. If no worker qualifies by its prefix, the less
+loaded of two randomly sampled workers is chosen (power of two choices).
 
 This module performs no I/O, and its choices are reproducible for a given random seed.
 """
@@ -17,13 +18,19 @@
 from mountstand.routing.prefix_index import PrefixIndex
 
 SPILL_LOAD_THRESHOLD = 0.9
-"""Other zones are considered once the least loaded home worker reaches this load."""
+"""Other zones are considered once the least loaded home worker reaches this load.
+
+Loads in this module are online requests per slot, as :meth:`WorkerState.estimated_load` returns.
+"""
 
 MAX_AFFINITY_LOAD_EXCESS = 0.25
-"""Largest load above the candidates' mean at which a worker is chosen for its cached prefix."""
+"""A worker is chosen for its cached prefix only up to this much load above the candidates' mean."""
 
 MIN_AFFINITY_BLOCKS = 2
-"""Shorter matches (under 128 characters) save less computation than uneven load costs."""
+"""Shortest match for which a worker is chosen by prefix.
+
+Shorter matches (under 128 characters) save less computation than uneven load costs.
+"""
 
 LOAD_SAMPLE_SIZE = 2
 """Candidates sampled at random, of which the least loaded is chosen."""
@@ -83,8 +90,8 @@
         chosen = self._choose_by_prefix(request, eligible, now_s) or self._choose_by_load(
             eligible, now_s
         )
-        for block in request.prefix:
-            self.prefix_index.record_stored(block, chosen.worker_id)
+        for block_hash in request.prefix:
+            self.prefix_index.record_stored(block_hash, chosen.worker_id)
         return chosen
 
     def _apply_zone_weights(self, candidates: list[WorkerState]) -> list[WorkerState]:
@@ -113,18 +120,24 @@
     def _choose_by_prefix(
         self, request: RouteRequest, candidates: list[WorkerState], now_s: float
     ) -> WorkerState | None:
+        """Return the candidate with the longest cached prefix among those within the load limit.
+
+        Return ``None`` if none of these has at least ``MIN_AFFINITY_BLOCKS`` cached.
+        """
         matched_counts = self.prefix_index.matched_block_counts(list(request.prefix))
         loads = {worker.worker_id: worker.estimated_load(now_s) for worker in candidates}
         max_load = sum(loads.values()) / len(loads) + MAX_AFFINITY_LOAD_EXCESS
-        holders = [
+        eligible_holders = [
             worker
             for worker in candidates
             if matched_counts.get(worker.worker_id, 0) >= MIN_AFFINITY_BLOCKS
             and loads[worker.worker_id] <= max_load
         ]
-        if not holders:
+        if not eligible_holders:
             return None
-        return max(holders, key=lambda w: (matched_counts[w.worker_id], -loads[w.worker_id]))
+        return max(
+            eligible_holders, key=lambda w: (matched_counts[w.worker_id], -loads[w.worker_id])
+        )
 
     def _choose_by_load(self, candidates: list[WorkerState], now_s: float) -> WorkerState:
         sampled = self._random.sample(candidates, min(LOAD_SAMPLE_SIZE, len(candidates)))
--- a/mountstand/routing/fleet_view.py
+++ b/mountstand/routing/fleet_view.py
@@ -1,5 +1,8 @@
 """One daemon's view of the workers: machines, its own requests in flight, and load reports.
 
+A worker is a machine whose role is not ``DAEMON``: an engine or an application. Its worker id is
+the machine id.
+
 This module performs no I/O and reads no clock: callers pass the current time. It is not
 thread-safe; :class:`mountstand.routing.router.Router` serializes access.
 """
@@ -11,23 +14,31 @@
 from enum import Enum
 
 from mountstand.engines.port import LoadFigures, LoadReport
-from mountstand.routing.outliers import WorkerHealth, max_ejected_count
+from mountstand.routing.outliers import WorkerHealth, max_excluded_count
 from mountstand.store.ports import Machine, MachineRole
 
 LOAD_REPORT_HALF_LIFE_S = 0.5
-"""Age at which a load report has half weight; engine work is replaced in about a second."""
+"""Age at which a load report has half weight.
+
+Most of an engine's requests complete within about a second.
+"""
 
 DEFAULT_SLOTS = 16
 """Slots assumed for a worker that has not reported its load yet."""
 
 
 class DispatchOutcome(Enum):
-    """Result of a dispatch; only ``SUCCESS`` and ``FAILED`` affect the worker's health."""
+    """Result of a dispatch, as evidence about the worker's health.
+
+    Only ``SUCCESS`` and ``FAILED`` affect the worker's health.
+    """
 
     SUCCESS = "success"
     REFUSED = "refused"
+    """The reachable worker did not execute the request, for example because it is full."""
     FAILED = "failed"
     NEUTRAL = "neutral"
+    """The dispatch ended for a reason unrelated to the worker, such as a client disconnect."""
 
 
 @dataclass
@@ -56,10 +67,10 @@
         return self.machine.machine_id
 
     @property
-    def leaving(self) -> bool:
-        """Whether the worker must get no new work.
+    def closed_to_new_work(self) -> bool:
+        """Whether the worker is leaving or drained.
 
-        True as soon as the machine list, the worker's load report or an operator's drain says so.
+        A worker is leaving as soon as the machine list or its own load report says so.
         """
         return self.machine.leaving or self.reported_leaving or self.drained
 
@@ -141,7 +152,8 @@
     def record_response_load(self, worker_id: str, load: LoadFigures, now_s: float) -> None:
         """Update the latest load report with the load that accompanied a response.
 
-        It is fresher than any polled report. Ignored before the first polled report.
+        A response's load is fresher than any polled report. It is ignored before the first polled
+        report, because it lacks the worker's models, which only a polled report carries.
         """
         worker = self.workers.get(worker_id)
         if worker is None or worker.report is None:
@@ -150,7 +162,7 @@
         worker.report_time_s = now_s
         worker.own_in_flight_at_report = worker.in_flight
 
-    def begin_dispatch(self, worker_id: str, *, batch: bool = False) -> None:
+    def record_dispatch_start(self, worker_id: str, *, batch: bool = False) -> None:
         """Count a dispatch as in flight."""
         worker = self.workers.get(worker_id)
         if worker is None:
@@ -160,10 +172,13 @@
         else:
             worker.in_flight += 1
 
-    def end_dispatch(
+    def record_dispatch_end(
         self, worker_id: str, outcome: DispatchOutcome, now_s: float, *, batch: bool = False
     ) -> None:
-        """Remove a dispatch from the in-flight count and update the worker's health."""
+        """Remove a dispatch from the in-flight count.
+
+        ``SUCCESS`` and ``FAILED`` also count towards the worker's health.
+        """
         worker = self.workers.get(worker_id)
         if worker is None:
             return
@@ -189,7 +204,8 @@
     def models(self) -> dict[str, str]:
         """Map each model name to a service whose engines have it loaded.
 
-        The name of each engine service is also accepted as a model name.
+        Each engine service's own name is also a key. It maps to that service unless a model has the
+        same name.
         """
         service_by_model: dict[str, str] = {}
         for worker in self.workers.values():
@@ -201,15 +217,18 @@
         return service_by_model
 
     def candidates(self, service: str, now_s: float) -> list[WorkerState]:
-        """Return the workers of ``service`` that may get new work.
+        """Return the workers of ``service`` that are neither leaving, drained nor ejected.
 
-        Leaving and ejected workers are omitted. If more than ``MAX_EJECTED_FRACTION`` are ejected,
-        those whose ejection ends soonest are returned all the same.
+        At most ``MAX_EJECTED_FRACTION`` of the available workers are omitted as ejected. Beyond
+        that, the ejected workers whose ejection ends soonest are returned too. Backoff is not
+        considered: callers check ``backoff_until_s``.
         """
-        available = [w for w in self._by_service.get(service, []) if not w.leaving]
+        available = [w for w in self._by_service.get(service, []) if not w.closed_to_new_work]
         ejected = [worker for worker in available if worker.health.is_ejected(now_s)]
         ejected.sort(key=lambda worker: -worker.health.ejected_until_s)
-        excluded_ids = {worker.worker_id for worker in ejected[: max_ejected_count(len(available))]}
+        excluded_ids = {
+            worker.worker_id for worker in ejected[: max_excluded_count(len(available))]
+        }
         return [worker for worker in available if worker.worker_id not in excluded_ids]
 
 
--- a/mountstand/routing/observer.py
+++ b/mountstand/routing/observer.py
@@ -24,7 +24,8 @@
     is set once the first list has been applied and passed to ``on_machines``.
 
     The ``*_poll_s`` parameters are polling intervals. ``load_polls_per_s`` and
-    ``cache_polls_per_s`` limit the total rate of polls over all workers.
+    ``cache_polls_per_s`` limit the total rate of polls over all workers, but each round may make
+    at least one poll.
     """
 
     def __init__(
@@ -75,6 +76,7 @@
     def poll_machines(self) -> None:
         """Fetch the platform's machine list once and apply it if it has changed."""
         machines = self._machine_list.machines()
+        # The machine list port returns the same object until the list changes.
         if machines is self._last_machines:
             return
         self._last_machines = machines
@@ -124,11 +126,11 @@
     def _poll_cache(self, machine: Machine) -> None:
         after_number = self._last_cache_event_numbers.get(machine.machine_id, 0)
         try:
-            changes, last_number = self._backend.cache_events(machine, after_number)
+            events, last_number = self._backend.cache_events(machine, after_number)
         except MountstandError:
             return
         self._last_cache_event_numbers[machine.machine_id] = last_number
-        self._router.record_cache_events(machine.machine_id, changes)
+        self._router.record_cache_events(machine.machine_id, events)
 
 
 def circular_slice(machines: list[Machine], start: int, count: int) -> list[Machine]:
--- a/mountstand/routing/outliers.py
+++ b/mountstand/routing/outliers.py
@@ -1,6 +1,8 @@
-"""Outlier detection: ejects workers that keep failing, up to a limited fraction of them.
+"""Outlier detection: ejects workers that keep failing.
 
-Each daemon decides from the failures that it observes itself.
+Each daemon decides from the failures that it observes itself. Any number of workers can be ejected
+at once, but :meth:`mountstand.routing.fleet_view.FleetView.candidates` leaves out only a limited
+fraction of them. Batch dispatch skips every ejected worker.
 """
 
 from __future__ import annotations
@@ -11,9 +13,15 @@
 """Above one, so that a single failed request does not eject a worker."""
 
 BASE_EJECTION_S = 1.0
+"""Duration of the first ejection after a success; it doubles up to ``MAX_EJECTION_S``."""
+
 MAX_EJECTION_S = 30.0
+
 MAX_EJECTED_FRACTION = 0.5
-"""If more workers fail, the cause is probably this daemon or its network."""
+"""Largest fraction of a service's available workers that is left out as ejected.
+
+If more of them fail, the cause is probably this daemon or its network.
+"""
 
 
 @dataclass
@@ -50,10 +58,10 @@
         self.ejected_until_s = now_s + duration_s
 
     def is_ejected(self, now_s: float) -> bool:
-        """Return whether the worker is ejected at ``now_s`` and should get no ordinary traffic."""
+        """Return whether the worker is ejected at ``now_s``."""
         return now_s < self.ejected_until_s
 
 
-def max_ejected_count(worker_count: int) -> int:
-    """Return how many of ``worker_count`` workers may be ejected at once."""
+def max_excluded_count(worker_count: int) -> int:
+    """Return how many of ``worker_count`` available workers may be left out as ejected."""
     return int(worker_count * MAX_EJECTED_FRACTION)
--- a/mountstand/routing/router.py
+++ b/mountstand/routing/router.py
@@ -15,7 +15,7 @@
 IDLE_POLLING_BUSY_LIMIT = 64
 """With at least this many workers busy, idle workers are not polled.
 
-An idle worker is polled again once it has a dispatch in flight.
+A skipped worker is polled again as soon as it gets a dispatch or fewer workers are busy.
 """
 
 MODELS_CACHE_TTL_S = 0.5
@@ -50,23 +50,23 @@
             worker = self._chooser.choose(request, elapsed_s())
             if worker is None:
                 return None
-            self._view.begin_dispatch(worker.worker_id)
+            self._view.record_dispatch_start(worker.worker_id)
             return worker.machine
 
     def end_dispatch(self, worker_id: str, outcome: DispatchOutcome) -> None:
         """Record the end and outcome of an online dispatch."""
         with self._lock:
-            self._view.end_dispatch(worker_id, outcome, elapsed_s())
+            self._view.record_dispatch_end(worker_id, outcome, elapsed_s())
 
     def begin_batch_dispatch(self, worker_id: str) -> None:
         """Count a batch dispatch to a worker that the batch executor has chosen."""
         with self._lock:
-            self._view.begin_dispatch(worker_id, batch=True)
+            self._view.record_dispatch_start(worker_id, batch=True)
 
     def end_batch_dispatch(self, worker_id: str, outcome: DispatchOutcome) -> None:
         """Record the end and outcome of a batch dispatch."""
         with self._lock:
-            self._view.end_dispatch(worker_id, outcome, elapsed_s(), batch=True)
+            self._view.record_dispatch_end(worker_id, outcome, elapsed_s(), batch=True)
 
     def set_backoff(self, worker_id: str, delay_s: float) -> None:
         """Exclude a worker that refused a request from dispatches for ``delay_s``."""
@@ -80,7 +80,7 @@
             self.version += 1
 
     def record_load(self, worker_id: str, report: LoadReport) -> None:
-        """Store a load report that a worker has just returned to a poll."""
+        """Store a load report received just now in answer to a poll."""
         with self._lock:
             self._view.record_load(worker_id, report, elapsed_s())
 
@@ -97,15 +97,15 @@
             if worker is not None:
                 worker.health.record_failure(elapsed_s())
 
-    def record_cache_events(self, worker_id: str, changes: Iterable[CacheEvent]) -> None:
+    def record_cache_events(self, worker_id: str, events: Iterable[CacheEvent]) -> None:
         """Apply the cache events of one worker to the prefix index."""
         with self._lock:
             index = self._chooser.prefix_index
-            for change in changes:
-                if change.stored:
-                    index.record_stored(change.block, worker_id)
+            for event in events:
+                if event.stored:
+                    index.record_stored(event.block, worker_id)
                 else:
-                    index.record_evicted(change.block, worker_id)
+                    index.record_evicted(event.block, worker_id)
 
     def apply_drains(
         self,
@@ -128,7 +128,7 @@
             return [worker.machine for worker in self._view.workers.values()]
 
     def workers_to_poll(self) -> list[Machine]:
-        """Return the workers to poll, busy ones first; omit idle ones if many are busy."""
+        """Return the workers to poll: all of them, or only the busy ones if many are busy."""
         with self._lock:
             workers = list(self._view.workers.values())
         busy = [w.machine for w in workers if w.in_flight or w.batch_in_flight]
@@ -142,7 +142,9 @@
             return self._view.services()
 
     def models(self) -> dict[str, str]:
-        """Map each model name to a service that has it.
+        """Map each model name, and each engine service's own name, to a service.
+
+        A model maps to a service whose engines have it loaded.
 
         The result may be stale by up to ``MODELS_CACHE_TTL_S``.
         """
@@ -154,22 +156,29 @@
         return self._models
 
     def capacity(self, service: str) -> int:
-        """Return the total slots of the workers of ``service`` that may get work, in all zones."""
+        """Return the total slots of the candidates for ``service`` in all zones.
+
+        Leaving, drained and ejected workers are omitted as in :meth:`FleetView.candidates`. Workers
+        in backoff are included.
+        """
         with self._lock:
             candidates = self._view.candidates(service, elapsed_s())
             return sum(worker.slots for worker in candidates)
 
     def engines(self) -> list[Machine]:
-        """Return the engines that are not leaving."""
+        """Return the engines that are neither leaving nor drained."""
         with self._lock:
             return [
                 worker.machine
                 for worker in self._view.workers.values()
-                if worker.machine.role is MachineRole.ENGINE and not worker.leaving
+                if worker.machine.role is MachineRole.ENGINE and not worker.closed_to_new_work
             ]
 
     def batch_slot_limit(self, worker_id: str) -> int:
-        """Return how many batch items this daemon may have in flight at a worker."""
+        """Return how many batch items this daemon may have in flight at a worker.
+
+        The limit includes the daemon's batch items already in flight there.
+        """
         with self._lock:
             return self._batch_slot_limit_locked(worker_id)
 
@@ -185,7 +194,7 @@
         """Implement :meth:`batch_slot_limit`; the caller must hold the lock."""
         worker = self._view.workers.get(worker_id)
         now_s = elapsed_s()
-        if worker is None or worker.leaving or worker.report is None:
+        if worker is None or worker.closed_to_new_work or worker.report is None:
             return 0
         if worker.health.is_ejected(now_s):
             return 0
@@ -204,7 +213,7 @@
                     "load": round(worker.estimated_load(now_s), 3),
                     "in_flight": worker.in_flight,
                     "batch_in_flight": worker.batch_in_flight,
-                    "leaving": worker.leaving,
+                    "leaving": worker.closed_to_new_work,
                     "ejected": worker.health.is_ejected(now_s),
                 }
                 for worker in self._view.workers.values()
--- a/tests/unit/test_chooser.py
+++ b/tests/unit/test_chooser.py
@@ -50,6 +50,7 @@
         self.record_load_report(0, 10)
         self.assertEqual({"w1"}, self.chosen_worker_ids())
         self.record_load_report(1, 10)
+        # Home workers may still be chosen once all zones are considered.
         self.assertEqual({"w2", "w3"}, self.chosen_worker_ids() - {"w0", "w1"})
 
     def test_prefers_prefix_holder_within_load_limit(self) -> None:
@@ -57,7 +58,7 @@
         self.chooser.prefix_index.record_stored(PREFIX_BLOCKS[1], "w1")
         self.assertEqual({"w1"}, self.chosen_worker_ids(prefix=PREFIX_BLOCKS[:2]))
         for _ in range(8):
-            self.view.begin_dispatch("w1")
+            self.view.record_dispatch_start("w1")
         self.assertEqual({"w0"}, self.chosen_worker_ids(prefix=PREFIX_BLOCKS[:2]))
 
     def test_skips_ineligible_workers(self) -> None:
@@ -70,7 +71,7 @@
             ),
             "drained": lambda: self.view.set_drained(frozenset({"w0"}), frozenset()),
             "ejected": lambda: [
-                self.view.end_dispatch("w0", DispatchOutcome.FAILED, 100.0) for _ in range(3)
+                self.view.record_dispatch_end("w0", DispatchOutcome.FAILED, 100.0) for _ in range(3)
             ],
             "backing off after a refusal": lambda: self.view.set_backoff("w0", 101.0),
         }
@@ -86,16 +87,19 @@
         for number in range(2):
             self.record_load_report(number, 0)
 
-    def test_ejects_at_most_half_of_workers(self) -> None:
+    def test_excludes_at_most_half_of_workers_as_ejected(self) -> None:
         for number in range(4):
             for _ in range(3):
-                self.view.end_dispatch(f"w{number}", DispatchOutcome.FAILED, 100.0 + number / 10)
+                self.view.record_dispatch_end(
+                    f"w{number}", DispatchOutcome.FAILED, 100.0 + number / 10
+                )
         self.assertEqual(2, len(self.view.candidates("caption", 100.5)))
 
     def test_zero_weight_excludes_zone_and_partial_weight_limits_it(self) -> None:
         self.chooser.zone_weights = {"home": 0.0}
         self.assertEqual({"w2", "w3"}, self.chosen_worker_ids())
         self.chooser.zone_weights = {"home": 0.5}
+        # A request goes home if either of the two home workers is kept: probability 0.75.
         request = RouteRequest("caption")
         zones = [self.chooser.choose(request, 100.0).machine.zone for _ in range(400)]
         self.assertTrue(0.6 < zones.count("home") / 400 < 0.9, zones.count("home"))
