--- a/mountstand/jobs/item_execution.py
+++ b/mountstand/jobs/item_execution.py
@@ -1,4 +1,4 @@
-"""Runs one batch item at a worker and collects its output."""
+"""Sends batch items to workers and collects their output."""
 
 from __future__ import annotations
 
@@ -10,60 +10,70 @@
 from mountstand.jobs.model import ItemResult, ItemState, JobItem
 from mountstand.jobs.repository import JobRepository
 from mountstand.quarantine.service import RequestQuarantine
-from mountstand.serving.batch_room import BatchRoom
-from mountstand.serving.configuration import Configuration, Route, ShareChooser
+from mountstand.serving.batch_room import BatchScheduler
+from mountstand.serving.configuration import Configuration, Route, WeightedServiceChooser
 from mountstand.serving.connections import WorkerConnections
 from mountstand.serving.events import EventSplitter
-from mountstand.serving.worker import PromptReading, Worker
+from mountstand.serving.worker import PendingPrefill, Worker
 from mountstand.serving.worker_protocol import Call, ReplyKind, WorkerProtocol
 from mountstand.serving.workers import WorkerDirectory
 from mountstand.telemetry.decisions import DecisionLog, milliseconds
 from mountstand.telemetry.serving_metrics import ServingMetrics
 from mountstand.transport.http_client import ClientConnection, ConnectFailed, ReplyBroken
 
-STALL_S = 2.0
-"""An item whose stream says nothing for so long is resumed at another worker."""
+STREAM_STALL_TIMEOUT_S = 2.0
+"""Maximum gap between two chunks of a response stream, after which the attempt fails."""
 
-FIRST_EVENT_S = 6.0
-"""An item that gets no answer for so long is put to another worker."""
+RESPONSE_HEAD_TIMEOUT_S = 6.0
+"""Maximum wait for a response head, after which the attempt fails."""
 
-FAILED_STATUS = 500
-"""A worker ran a request and failed; only these answers use up attempts."""
+WORKER_ERROR_STATUS = 500
+"""The worker ran the request and failed. Only this status counts towards ``max_attempts``."""
 
-UNDOABLE_STATUS = 422
-"""A worker says that a request can never be done."""
+UNPROCESSABLE_STATUS = 422
+"""The worker can never process this request, so the item fails without a retry."""
 
 
 @dataclass
 class ItemProgress:
-    """What there is of one item's output."""
+    """One item's output so far and the state of its current attempt."""
 
     index: int
     item: JobItem
     texts: list[str] = field(default_factory=list)
     last_event_id: int | None = None
+    """ID of the last complete event; the next attempt resumes after it."""
+
     failures: int = 0
+    """Number of ``WORKER_ERROR_STATUS`` responses; broken streams do not count."""
+
     preempted: bool = False
+    """Whether the latest attempt was preempted; reset before the next attempt."""
+
     connection: ClientConnection | None = None
     call: Call | None = None
-    """The request as workers get it, made once, since hashing its content reads the whole body."""
+    """The request to workers, cached because hashing its content reads the whole body."""
 
     saved_event_id: int | None = None
-    ran_s: float = 0.0
-    """How long attempts that this daemon made ran at workers."""
+    """ID of the last event that was saved to the store."""
 
-    held_back: bool = False
-    """Whether it was told that the item crashes workers and waits."""
+    run_time_s: float = 0.0
+    """Total time that this daemon's attempts at the item spent reading response bodies."""
 
-    restored: bool = False
-    """Whether another process ran the first part."""
+    block_logged: bool = False
+    """Whether ``item_held_back`` was logged for this item."""
+
+    restored_from_store: bool = False
+    """Whether the first part of the output comes from another process's saved progress."""
 
     sent_at_s: float | None = None
-    first_event_at_s: float | None = None
-    """When the present attempt was sent and when its answer began, on the loop's clock."""
+    """When the current attempt sent its request, in event loop time."""
+
+    head_received_at_s: float | None = None
+    """When the current attempt received a response head with status 200, in event loop time."""
 
     def preempt(self) -> None:
-        """Close the item's stream, since online work needs the slot."""
+        """Close the item's connection to free its slot for online requests."""
         self.preempted = True
         if self.connection is not None:
             self.connection.close()
@@ -71,25 +81,29 @@
 
 @dataclass(frozen=True)
 class RunnerContext:
-    """What all runners of a daemon share."""
+    """Services and state shared by all job runners of a daemon.
+
+    ``store_age_s`` returns the age of this daemon's view of the store. Items start only while it is
+    at most ``max_store_age_s``.
+    """
 
     repository: JobRepository
     directory: WorkerDirectory
     connections: WorkerConnections
     protocol: WorkerProtocol
-    shares: ShareChooser
-    room: BatchRoom
+    service_chooser: WeightedServiceChooser
+    batch_scheduler: BatchScheduler
     quarantine: RequestQuarantine
     metrics: ServingMetrics
     log: DecisionLog
     configuration: Callable[[], Configuration | None]
     store_age_s: Callable[[], float]
     store_now_ms: Callable[[], int]
-    contact_limit_s: Callable[[], float]
+    max_store_age_s: Callable[[], float]
 
 
 class ItemExecutor:
-    """Puts the items of one job to workers."""
+    """Runs the items of one job at workers."""
 
     def __init__(self, context: RunnerContext, job_id: str, host: str, tenant: str = "") -> None:
         self._context = context
@@ -100,33 +114,36 @@
     async def attempt(
         self, progress: ItemProgress, route: Route, worker: Worker
     ) -> ItemResult | None:
-        """Make one attempt; returns the item's end, or ``None`` if it must be tried again."""
+        """Make one attempt; return the final result, or ``None`` if the item must be retried."""
         with self._context.quarantine.running(self._call(progress), worker):
             result = await self._attempt(progress, route, worker)
         if result is None and progress.sent_at_s is not None:
-            await self._context.quarantine.settled(worker)
+            await self._context.quarantine.wait_until_checked(worker)
         return result
 
     async def _attempt(
         self, progress: ItemProgress, route: Route, worker: Worker
     ) -> ItemResult | None:
-        progress.sent_at_s = progress.first_event_at_s = None
-        reading = PromptReading(worker, progress.item.prompt)
+        progress.sent_at_s = progress.head_received_at_s = None
+        pending_prefill = PendingPrefill(worker, progress.item.prompt)
         try:
             progress.connection = await self._context.connections.acquire(worker, repeatable=True)
             if progress.preempted:
                 return None
-            return await self._exchange(progress, route, worker, progress.connection, reading)
-        except (ConnectFailed, ReplyBroken, TimeoutError) as problem:
-            cause = "preempted" if progress.preempted else str(problem) or "silent"
-            if isinstance(problem, ReplyBroken) and progress.connection is not None:
+            return await self._exchange(
+                progress, route, worker, progress.connection, pending_prefill
+            )
+        except (ConnectFailed, ReplyBroken, TimeoutError) as error:
+            # A TimeoutError has no text.
+            cause = "preempted" if progress.preempted else str(error) or "silent"
+            if isinstance(error, ReplyBroken) and progress.connection is not None:
                 self._context.connections.note_broken(progress.connection)
-            if not isinstance(problem, ConnectFailed) and not progress.preempted:
-                self._note_broken(progress, worker)
-            self._log_attempt(progress, worker, cause)
+            if not isinstance(error, ConnectFailed) and not progress.preempted:
+                self._record_broken_attempt(progress, worker)
+            self._log_failed_attempt(progress, worker, cause)
             return None
         finally:
-            reading.end()
+            pending_prefill.end()
             if progress.connection is not None:
                 self._context.connections.release(worker, progress.connection, 1)
                 progress.connection = None
@@ -137,13 +154,14 @@
         route: Route,
         worker: Worker,
         connection: ClientConnection,
-        reading: PromptReading,
+        pending_prefill: PendingPrefill,
     ) -> ItemResult | None:
         context = self._context
         loop = asyncio.get_running_loop()
         call = self._call(progress)
-        if not worker.note_sent(loop.time()):
-            self._log_attempt(progress, worker, "worker cold")
+        # False while the worker's cold-start rate limit allows no further request.
+        if not worker.admit_send(loop.time()):
+            self._log_failed_attempt(progress, worker, "worker cold")
             context.metrics.send_withheld()
             return None
         headers = context.protocol.request_headers(call, worker, None, progress.last_event_id)
@@ -152,39 +170,39 @@
             call.target,
             headers,
             call.body,
-            lambda reply: context.protocol.belongs_to(call, reply),
+            lambda reply: context.protocol.is_reply_to(call, reply),
         )
         progress.sent_at_s = loop.time()
-        async with asyncio.timeout(FIRST_EVENT_S):
-            head = await connection.read_head()
-        reading.end()
-        worker.note_heard(loop.time())
-        meaning = context.protocol.meaning(head)
-        if meaning.load is not None:
-            worker.note_load(meaning.load, loop.time())
-        if meaning.kind is ReplyKind.OTHER_WORKER:
+        async with asyncio.timeout(RESPONSE_HEAD_TIMEOUT_S):
+            response_head = await connection.read_head()
+        pending_prefill.end()
+        worker.note_reply(loop.time())
+        reply_summary = context.protocol.reply_summary(response_head)
+        if reply_summary.load is not None:
+            worker.note_load(reply_summary.load, loop.time())
+        if reply_summary.kind is ReplyKind.OTHER_WORKER:
             context.directory.forget(worker)
             return None
-        if meaning.kind is ReplyKind.NOT_RUN:
-            worker.note_full(loop.time())
+        if reply_summary.kind is ReplyKind.NOT_RUN:
+            worker.note_overloaded(loop.time())
             return None
-        if head.status != 200:
-            return self._note_failure(progress, route, worker, head.status)
-        began_s = loop.time()
-        progress.first_event_at_s = began_s
+        if response_head.status != 200:
+            return self._handle_error_status(progress, route, worker, response_head.status)
+        head_received_at_s = loop.time()
+        progress.head_received_at_s = head_received_at_s
         try:
             await self._collect(progress, worker, connection)
         finally:
-            progress.ran_s += loop.time() - began_s
+            progress.run_time_s += loop.time() - head_received_at_s
         worker.health.own.add(loop.time(), failed=False)
         context.quarantine.note_served(call)
-        if not progress.restored:
-            context.room.durations.note(worker.record.service, progress.ran_s)
+        if not progress.restored_from_store:
+            context.batch_scheduler.durations.observe(worker.record.service, progress.run_time_s)
         self._log(
             "item_completed",
             item=progress.item.item_id,
             worker=worker.record.worker_id,
-            **self._run_times(progress),
+            **self._attempt_log_fields(progress),
         )
         return ItemResult(
             progress.index,
@@ -196,51 +214,57 @@
     async def _collect(
         self, progress: ItemProgress, worker: Worker, connection: ClientConnection
     ) -> None:
-        """Collect whole events until the stream's end. Raises ``ReplyBroken``."""
+        """Append complete events to the output until the stream ends.
+
+        Raises ``ReplyBroken`` if the stream ends within an event, ``TimeoutError`` if it stalls.
+        """
         splitter = EventSplitter()
         loop = asyncio.get_running_loop()
         while True:
-            async with asyncio.timeout(STALL_S):
-                piece = await connection.read_piece()
-            if piece is None:
+            async with asyncio.timeout(STREAM_STALL_TIMEOUT_S):
+                chunk = await connection.read_piece()
+            if chunk is None:
                 break
-            worker.last_heard_s = worker.last_said_s = loop.time()
-            for event in splitter.feed(piece):
+            worker.last_contact_s = worker.last_data_s = loop.time()
+            for event in splitter.feed(chunk):
                 progress.texts.append(event.data.decode("utf-8", "replace"))
                 progress.last_event_id = event.event_id
         if splitter.partial:
             raise ReplyBroken("ended within an event")
 
-    def _note_broken(self, progress: ItemProgress, worker: Worker) -> None:
-        """Count an attempt that broke or fell silent against its worker, and suspect the item."""
+    def _record_broken_attempt(self, progress: ItemProgress, worker: Worker) -> None:
+        """Count a broken or timed-out attempt against the worker and make the item a suspect."""
         if progress.sent_at_s is not None:
             call = self._call(progress)
             self._context.quarantine.note_broken(worker, call, progress.sent_at_s)
         worker.health.own.add(asyncio.get_running_loop().time(), failed=True)
 
-    def _note_failure(
+    def _handle_error_status(
         self, progress: ItemProgress, route: Route, worker: Worker, status: int
     ) -> ItemResult | None:
-        self._log_attempt(progress, worker, f"status {status}")
-        if status == UNDOABLE_STATUS:
-            return self.given_up(progress, "cannot be done", route.name)
-        if status == FAILED_STATUS:
+        self._log_failed_attempt(progress, worker, f"status {status}")
+        if status == UNPROCESSABLE_STATUS:
+            return self.fail_item(progress, "cannot be done", route.name)
+        if status == WORKER_ERROR_STATUS:
             progress.failures += 1
             worker.health.own.add(asyncio.get_running_loop().time(), failed=True)
         if progress.failures >= route.max_attempts:
-            return self.given_up(progress, "attempts used up", route.name)
+            return self.fail_item(progress, "attempts used up", route.name)
         return None
 
     def blocked_for_s(self, progress: ItemProgress) -> float:
-        """Return for how long an item may not be sent to workers, 0 if it may be."""
+        """Return how long the quarantine still blocks an item, or 0 if it may run."""
         return self._context.quarantine.blocked_for_s(self._call(progress))
 
     def allows(self, progress: ItemProgress, worker: Worker) -> bool:
-        """Return whether an item may run at a worker beside other suspects that run there."""
+        """Return whether the quarantine lets an item run at a worker.
+
+        The answer depends on the other items suspected of crashing workers that run there.
+        """
         return self._context.quarantine.allows(self._call(progress), worker)
 
-    def given_up(self, progress: ItemProgress, cause: str, route: str) -> ItemResult:
-        """Return the end of an item that is given up."""
+    def fail_item(self, progress: ItemProgress, cause: str, route: str) -> ItemResult:
+        """Log that an item has failed permanently, and return its result."""
         self._log("item_given_up", item=progress.item.item_id, cause=cause, route=route)
         return ItemResult(progress.index, progress.item.item_id, ItemState.FAILED, "")
 
@@ -259,7 +283,7 @@
             )
         return progress.call
 
-    def _log_attempt(self, progress: ItemProgress, worker: Worker, cause: str) -> None:
+    def _log_failed_attempt(self, progress: ItemProgress, worker: Worker, cause: str) -> None:
         self._log(
             "item_attempt_failed",
             item=progress.item.item_id,
@@ -270,18 +294,20 @@
             last_event=progress.last_event_id,
             in_flight=worker.in_flight,
             load=worker.load.total if worker.load else None,
-            **self._run_times(progress),
+            **self._attempt_log_fields(progress),
         )
 
-    def _run_times(self, progress: ItemProgress) -> dict[str, float | int | None]:
-        """Return what a line tells of the present attempt's times and of the item's prompt."""
+    def _attempt_log_fields(self, progress: ItemProgress) -> dict[str, float | int | None]:
+        """Return log fields for the current attempt's timings, total run time and prompt size."""
         now_s = asyncio.get_running_loop().time()
-        sent_s, first_s = progress.sent_at_s, progress.first_event_at_s
+        sent_at_s, head_received_at_s = progress.sent_at_s, progress.head_received_at_s
         prompt = progress.item.prompt
         return {
-            "read_ms": milliseconds(first_s - sent_s) if first_s and sent_s else None,
-            "ms": milliseconds(now_s - sent_s) if sent_s else None,
-            "ran_ms": milliseconds(progress.ran_s),
+            "read_ms": milliseconds(head_received_at_s - sent_at_s)
+            if head_received_at_s and sent_at_s
+            else None,
+            "ms": milliseconds(now_s - sent_at_s) if sent_at_s else None,
+            "ran_ms": milliseconds(progress.run_time_s),
             "shared_tokens": prompt.shared_tokens,
             "own_tokens": prompt.own_tokens,
         }
--- a/mountstand/jobs/repository.py
+++ b/mountstand/jobs/repository.py
@@ -1,8 +1,10 @@
 """Reads and writes batch jobs in the row store.
 
-A job's rows share one part, so that a transaction can cover them: its head in ``HEADS``, the
-submitted document in ``DOCUMENTS`` and the results in ``RESULTS``, cut to the store's row size. A
-result is at a position once the head that counts it is committed, never before.
+All rows of a job are in one partition, so that a single transaction can cover them: the head is in
+``HEADS_TABLE``, the submitted document in ``DOCUMENTS_TABLE``, the results in ``RESULTS_TABLE`` and
+the progress of unfinished items in ``PROGRESS_TABLE``. Documents and results are split into chunks
+that fit the store's row size. A result becomes visible at its position only when the head that
+counts it is committed.
 """
 
 from __future__ import annotations
@@ -16,8 +18,8 @@
     ItemResult,
     JobHead,
     JobSubmission,
-    KeptSubmission,
     SavedProgress,
+    StoredSubmission,
     decode_head,
     decode_progress,
     decode_result,
@@ -35,251 +37,308 @@
     read_all,
 )
 
-HEADS = "jobs"
-DOCUMENTS = "job_documents"
-RESULTS = "job_results"
-PROGRESS = "job_progress"
+HEADS_TABLE = "jobs"
+DOCUMENTS_TABLE = "job_documents"
+RESULTS_TABLE = "job_results"
+PROGRESS_TABLE = "job_progress"
 
-PARTITIONS = 16
-"""Parts that jobs are spread over. A part takes a limited rate of writes; sixteen of them pass
-the rate of the whole store on the deployments known, and a start reads each once."""
+PARTITION_COUNT = 16
+"""Number of partitions that jobs are spread over.
 
-MAX_ROWS_PER_WRITE = 45
-MAX_BYTES_PER_WRITE = 600_000
-"""Bounds of one transaction, below the store's 100 entries and 1 MB in base64. A row written may
-bring the removal of another, and the head is one more."""
+The store limits the write rate of each partition, so there must be enough of them to use the rate
+of the whole store: sixteen exceed it on known deployments. Each partition costs one read when a
+daemon starts.
+"""
+
+MAX_WRITE_ROWS = 45
+MAX_WRITE_BYTES = 600_000
+"""Limits of one transaction, below the store's 100 entries and 1 MB in base64.
+
+Each row written may come with the removal of another, and the head adds one more row.
+"""
+
+FALLBACK_OBJECT_PREFIX = "accepted/"
+FALLBACK_OBJECT_COPIES = 3
+"""Number of fallback objects that may be written for a job, each under its own name.
 
-ACCEPTED_PREFIX = "accepted/"
-ACCEPTED_COPIES = 3
-"""Names under which a job may be kept as an object while its part of the rows takes no writes. A
-store that is down in part serves some names; with three, one of them nearly always."""
+A partial outage of the object store affects only some names, so at least one of them is usually
+writable.
+"""
 
-BASE64_SHARE = 3 / 4
+BASE64_PAYLOAD_RATIO = 3 / 4
 
 
-def partitions() -> list[str]:
-    """Return the names of all parts."""
-    return [f"p{number:02d}" for number in range(PARTITIONS)]
+def partition_names() -> list[str]:
+    """Return the names of all partitions."""
+    return [f"p{number:02d}" for number in range(PARTITION_COUNT)]
 
 
-def partition(job_id: str) -> str:
-    """Return the part that holds a job's rows."""
-    return f"p{zlib.crc32(job_id.encode()) % PARTITIONS:02d}"
+def partition_of(job_id: str) -> str:
+    """Return the partition that holds a job's rows."""
+    return f"p{zlib.crc32(job_id.encode()) % PARTITION_COUNT:02d}"
 
 
 def new_write_id() -> str:
-    """Return a name for one write, unlike any other."""
+    """Return a random id that identifies one write."""
     return secrets.token_hex(6)
 
 
 class JobRepository:
-    """Batch jobs in the row store; errors are those of :mod:`mountstand.store.rows`."""
+    """Stores batch jobs in the row store, and in objects where rows cannot hold them.
+
+    *Fallback objects* are copies of a whole submission, written if the job's partition of the row
+    store rejects the write or does not answer in time. A job stored only in fallback objects has no
+    head row until its head is first updated. A *document object* holds a document that is too large
+    for one transaction; its job has a head row.
+
+    ``row_bytes`` limits the base64 form of a row's value.
+
+    Raises the errors of :mod:`mountstand.store.rows`.
+    """
 
     def __init__(self, rows: RowStore, objects: ObjectStore, row_bytes: int) -> None:
         self.rows = rows
         self._objects = objects
-        self._piece_bytes = int(row_bytes * BASE64_SHARE)
+        self._chunk_bytes = int(row_bytes * BASE64_PAYLOAD_RATIO)
 
     # Reading
 
-    async def load(self, job_id: str) -> tuple[JobHead, int] | None:
-        """Return a job's head and its version, or ``None`` if the store has no such job."""
-        page = await self.rows.read(HEADS, partition(job_id), job_id, job_id + "\x00", 1)
+    async def load_head(self, job_id: str) -> tuple[JobHead, int] | None:
+        """Return a job's head and its version, or ``None`` if the job has no head row."""
+        page = await self.rows.read(HEADS_TABLE, partition_of(job_id), job_id, job_id + "\x00", 1)
         if not page.rows or page.rows[0].value is None:
             return None
         row = page.rows[0]
         assert row.value is not None
         return decode_head(job_id, row.value), row.version
 
-    async def load_accepted(self, job_id: str) -> tuple[str, KeptSubmission] | None:
-        """Return the submission of a job that is kept as an object, if any, and its name."""
-        for number in range(ACCEPTED_COPIES):
-            name = accepted_name(job_id, number)
+    async def load_fallback_submission(self, job_id: str) -> tuple[str, StoredSubmission] | None:
+        """Return a job's first readable fallback object, as name and submission, or ``None``."""
+        for copy_index in range(FALLBACK_OBJECT_COPIES):
+            name = fallback_object_name(job_id, copy_index)
             value = await self._objects.get_object(name)
             if value is not None:
                 return name, decode_submission(value)
         return None
 
-    async def accepted_jobs(self) -> list[str]:
-        """Return the ids of jobs that were kept as objects."""
-        names = await self._objects.list_objects(ACCEPTED_PREFIX)
+    async def list_fallback_object_job_ids(self) -> list[str]:
+        """Return the sorted ids of the jobs that have fallback objects."""
+        names = await self._objects.list_objects(FALLBACK_OBJECT_PREFIX)
         return sorted({name.split("/", 2)[2] for name in names})
 
-    async def document(self, head: JobHead) -> bytes | None:
-        """Return the submitted document, or ``None`` once it is dropped."""
+    async def load_document(self, head: JobHead) -> bytes | None:
+        """Return the submitted document, or ``None`` if it has been deleted."""
         if head.object_name:
             value = await self._objects.get_object(head.object_name)
             return decode_submission(value).document if value is not None else None
-        first, end = _range_of(head.job_id)
-        page = await read_all(self.rows, DOCUMENTS, partition(head.job_id), first, end)
-        pieces = [row.value for row in page.rows if row.value is not None]
-        return zlib.decompress(b"".join(pieces)) if pieces else None
+        first, end = _key_range(head.job_id)
+        page = await read_all(self.rows, DOCUMENTS_TABLE, partition_of(head.job_id), first, end)
+        chunks = [row.value for row in page.rows if row.value is not None]
+        return zlib.decompress(b"".join(chunks)) if chunks else None
 
-    async def results(
-        self, head: JobHead, after: int, max_bytes: int
+    async def load_results(
+        self, head: JobHead, start_position: int, max_bytes: int
     ) -> list[tuple[int, ItemResult]]:
-        """Return listed results from position ``after`` on, one at least, up to ``max_bytes``."""
+        """Return positions and results from ``start_position`` on, up to ``max_bytes``.
+
+        If ``start_position`` is below ``head.listed``, returns at least one result, whatever its
+        size.
+        """
         job_id = head.job_id
-        first = f"{job_id}/{after:06d}/"
+        first = f"{job_id}/{start_position:06d}/"
         end = f"{job_id}/{head.listed:06d}/"
-        page = await self.rows.read(RESULTS, partition(job_id), first, end)
-        pieces: dict[int, list[bytes]] = {}
+        page = await self.rows.read(RESULTS_TABLE, partition_of(job_id), first, end)
+        chunks_by_position: dict[int, list[bytes]] = {}
         for row in page.rows:
             position = int(row.key.key.split("/")[-2])
-            pieces.setdefault(position, []).append(row.value or b"")
-        if page.more and len(pieces) > 1:
-            pieces.popitem()
+            chunks_by_position.setdefault(position, []).append(row.value or b"")
+        if page.more and len(chunks_by_position) > 1:
+            # The last result of a truncated page may be incomplete.
+            chunks_by_position.popitem()
         elif page.more:
+            # A single result is larger than a page: read all of its rows.
             rest = await read_all(
-                self.rows, RESULTS, partition(job_id), first, f"{job_id}/{after + 1:06d}/"
+                self.rows,
+                RESULTS_TABLE,
+                partition_of(job_id),
+                first,
+                f"{job_id}/{start_position + 1:06d}/",
             )
-            pieces = {after: [row.value or b"" for row in rest.rows]}
-        return _within(pieces, after, max_bytes)
+            chunks_by_position = {start_position: [row.value or b"" for row in rest.rows]}
+        return _decode_consecutive(chunks_by_position, start_position, max_bytes)
 
     # Writing
 
-    async def submit(self, submission: JobSubmission, head: JobHead) -> int:
-        """Store a new job; returns its version. Raises ``Conflict`` if there is one already."""
-        packed = zlib.compress(submission.document, 1)
-        part = partition(head.job_id)
+    async def create(self, submission: JobSubmission, head: JobHead) -> int:
+        """Store a new job and return its version.
+
+        Raises ``Conflict`` if the job already exists.
+        """
+        compressed = zlib.compress(submission.document, 1)
+        job_partition = partition_of(head.job_id)
         transaction = Transaction(conditions=[(self._head_key(head.job_id), ABSENT)])
-        if len(packed) > MAX_BYTES_PER_WRITE:
+        if len(compressed) > MAX_WRITE_BYTES:
+            # The name lies outside FALLBACK_OBJECT_PREFIX: a document object alone is not an
+            # accepted job, so the scan for fallback objects must not find it.
             name = f"{head.job_id}-{head.write_id}"
             value = encode_submission(submission, head.accepted_ms)
             await self._objects.put_object(name, value)
             head = replace(head, object_name=name)
         else:
-            for number, piece in enumerate(self._pieces(packed)):
-                key = RowKey(DOCUMENTS, part, f"{head.job_id}/{number:04d}")
-                transaction.puts.append((key, piece))
+            for number, chunk in enumerate(self._split_into_chunks(compressed)):
+                key = RowKey(DOCUMENTS_TABLE, job_partition, f"{head.job_id}/{number:04d}")
+                transaction.puts.append((key, chunk))
         transaction.puts.append((self._head_key(head.job_id), head.encode()))
         return await self.rows.commit(transaction)
 
-    async def submit_as_object(
-        self, submission: JobSubmission, number: int, accepted_ms: int
+    async def put_fallback_object(
+        self, submission: JobSubmission, copy_index: int, accepted_ms: int
     ) -> str:
-        """Keep a new job as an object under one of its names; returns the name.
+        """Write one fallback object of a new job and return the object's name.
 
-        The object alone makes the job accepted; its head row follows with the first change of it.
+        The job is accepted as soon as the object is stored. The first update of its head creates
+        the head row.
         """
-        name = accepted_name(submission.job_id, number)
+        name = fallback_object_name(submission.job_id, copy_index)
         await self._objects.put_object(name, encode_submission(submission, accepted_ms))
         return name
 
     async def save_progress(
         self, head: JobHead, version: int, progress: list[SavedProgress]
     ) -> None:
-        """Keep what items have so far; only the owner of ``version`` can."""
+        """Save the progress of unfinished items.
+
+        Raises ``Conflict`` if the head is no longer at ``version``, so only the owner can save.
+        Skips items whose progress does not fit in a row, and all items after the total size,
+        including that of skipped items, exceeds ``MAX_WRITE_BYTES``.
+        """
         condition = (self._head_key(head.job_id), version)
         transaction = Transaction(conditions=[condition])
         size = 0
         for item in progress:
             value = encode_progress(item)
             size += len(value)
-            if len(value) > self._piece_bytes or size > MAX_BYTES_PER_WRITE:
+            if len(value) > self._chunk_bytes or size > MAX_WRITE_BYTES:
                 continue
             transaction.puts.append((self._progress_key(head.job_id, item.index), value))
-        for start in range(0, len(transaction.puts), MAX_ROWS_PER_WRITE):
-            puts = transaction.puts[start : start + MAX_ROWS_PER_WRITE]
+        for start in range(0, len(transaction.puts), MAX_WRITE_ROWS):
+            puts = transaction.puts[start : start + MAX_WRITE_ROWS]
             await self.rows.commit(Transaction(conditions=[condition], puts=puts))
 
-    async def progress(self, head: JobHead) -> list[SavedProgress]:
-        """Return what is kept of items that have not ended."""
-        first, end = _range_of(head.job_id)
-        page = await read_all(self.rows, PROGRESS, partition(head.job_id), first, end)
+    async def load_progress(self, head: JobHead) -> list[SavedProgress]:
+        """Return the saved progress of the items that are not listed."""
+        first, end = _key_range(head.job_id)
+        page = await read_all(self.rows, PROGRESS_TABLE, partition_of(head.job_id), first, end)
         found = [decode_progress(row.value) for row in page.rows if row.value is not None]
         return [item for item in found if not head.is_listed(item.index)]
 
-    async def change_head(
+    async def update_head(
         self,
         head: JobHead,
         version: int,
         results: list[ItemResult] | None = None,
-        saved: set[int] | None = None,
+        indices_with_progress: set[int] | None = None,
     ) -> int:
-        """Write a head that replaces ``version``, with results behind the listed ones.
+        """Write ``head`` if the stored head is still at ``version``, and append ``results``.
+
+        The version ``ABSENT`` creates the head row, provided that none exists.
 
-        ``saved`` are items whose progress is kept; that of those listed is dropped.
+        ``head`` already counts ``results``. ``indices_with_progress`` are the items with saved
+        progress; the same transaction deletes the progress of those in ``results``. Returns the
+        new version. Raises ``Conflict`` if the head is no longer at ``version``.
         """
-        part = partition(head.job_id)
+        job_partition = partition_of(head.job_id)
         transaction = Transaction(conditions=[(self._head_key(head.job_id), version)])
         position = head.listed - len(results or [])
         for result in results or []:
-            for number, piece in enumerate(self._pieces(encode_result(result))):
-                key = RowKey(RESULTS, part, f"{head.job_id}/{position:06d}/{number:04d}")
-                transaction.puts.append((key, piece))
+            for number, chunk in enumerate(self._split_into_chunks(encode_result(result))):
+                key = RowKey(
+                    RESULTS_TABLE, job_partition, f"{head.job_id}/{position:06d}/{number:04d}"
+                )
+                transaction.puts.append((key, chunk))
             position += 1
-            if saved and result.index in saved:
+            if indices_with_progress and result.index in indices_with_progress:
                 transaction.removals.append(self._progress_key(head.job_id, result.index))
         transaction.puts.append((self._head_key(head.job_id), head.encode()))
         return await self.rows.commit(transaction)
 
-    async def drop_document(self, head: JobHead) -> None:
-        """Drop the document of a job that needs it no longer."""
+    async def delete_document(self, head: JobHead) -> None:
+        """Delete a job's document: its rows, or all objects if ``head.object_name`` is set."""
         if not head.object_name:
-            await self._drop_range(DOCUMENTS, head.job_id)
+            await self._delete_range(DOCUMENTS_TABLE, head.job_id)
             return
         await self._objects.drop_object(head.object_name)
-        for number in range(ACCEPTED_COPIES):
-            await self._objects.drop_object(accepted_name(head.job_id, number))
-
-    async def drop(self, head: JobHead, version: int) -> None:
-        """Drop everything of a job; its head goes last."""
-        await self.drop_document(head)
-        await self._drop_range(RESULTS, head.job_id)
-        await self._drop_range(PROGRESS, head.job_id)
+        for copy_index in range(FALLBACK_OBJECT_COPIES):
+            await self._objects.drop_object(fallback_object_name(head.job_id, copy_index))
+
+    async def delete(self, head: JobHead, version: int) -> None:
+        """Delete the document, results, progress and head of a job.
+
+        The head is deleted last, so that an interrupted deletion can be repeated.
+        """
+        await self.delete_document(head)
+        await self._delete_range(RESULTS_TABLE, head.job_id)
+        await self._delete_range(PROGRESS_TABLE, head.job_id)
         key = self._head_key(head.job_id)
         await self.rows.commit(Transaction(conditions=[(key, version)], removals=[key]))
 
-    def fits(self, results: list[ItemResult], result: ItemResult) -> bool:
-        """Return whether ``result`` may join ``results`` in one write."""
+    def fits_in_one_write(self, results: list[ItemResult], result: ItemResult) -> bool:
+        """Return whether ``result`` can be written in one transaction with ``results``.
+
+        The first result always fits.
+        """
         sizes = [len(encode_result(each)) for each in [*results, result]]
-        rows = sum(size // self._piece_bytes + 1 for size in sizes)
-        return not results or (rows <= MAX_ROWS_PER_WRITE and sum(sizes) <= MAX_BYTES_PER_WRITE)
+        rows = sum(size // self._chunk_bytes + 1 for size in sizes)
+        return not results or (rows <= MAX_WRITE_ROWS and sum(sizes) <= MAX_WRITE_BYTES)
 
-    def _pieces(self, value: bytes) -> list[bytes]:
-        size = self._piece_bytes
+    def _split_into_chunks(self, value: bytes) -> list[bytes]:
+        size = self._chunk_bytes
         return [value[start : start + size] for start in range(0, max(1, len(value)), size)]
 
     def _progress_key(self, job_id: str, index: int) -> RowKey:
-        return RowKey(PROGRESS, partition(job_id), f"{job_id}/{index:06d}")
+        return RowKey(PROGRESS_TABLE, partition_of(job_id), f"{job_id}/{index:06d}")
 
     def _head_key(self, job_id: str) -> RowKey:
-        return RowKey(HEADS, partition(job_id), job_id)
+        return RowKey(HEADS_TABLE, partition_of(job_id), job_id)
 
-    async def _drop_range(self, table: str, job_id: str) -> None:
-        first, end = _range_of(job_id)
-        page = await read_all(self.rows, table, partition(job_id), first, end)
+    async def _delete_range(self, table: str, job_id: str) -> None:
+        first, end = _key_range(job_id)
+        page = await read_all(self.rows, table, partition_of(job_id), first, end)
         keys = [row.key for row in page.rows]
-        for start in range(0, len(keys), MAX_ROWS_PER_WRITE):
-            await self.rows.commit(Transaction(removals=keys[start : start + MAX_ROWS_PER_WRITE]))
+        for start in range(0, len(keys), MAX_WRITE_ROWS):
+            await self.rows.commit(Transaction(removals=keys[start : start + MAX_WRITE_ROWS]))
 
 
-def accepted_name(job_id: str, number: int) -> str:
-    """Return one of the names under which a job may be kept as an object.
+def fallback_object_name(job_id: str, copy_index: int) -> str:
+    """Return the name of one of a job's fallback objects.
 
-    The names differ from their first letters on, since a store may place objects by those.
+    The hash differs between copies and comes early in the name, because an object store may place
+    objects by name prefix.
     """
-    spread = hashlib.blake2b(f"{job_id}/{number}".encode(), digest_size=4).hexdigest()
-    return f"{ACCEPTED_PREFIX}{spread}/{job_id}"
+    hash_prefix = hashlib.blake2b(f"{job_id}/{copy_index}".encode(), digest_size=4).hexdigest()
+    return f"{FALLBACK_OBJECT_PREFIX}{hash_prefix}/{job_id}"
+
 
+def _key_range(job_id: str) -> tuple[str, str]:
+    """Return the half-open range of the keys that start with ``job_id`` and a slash.
 
-def _range_of(job_id: str) -> tuple[str, str]:
-    """Return the range of keys below a job: from its slash to the character after it."""
+    The character after the slash in ASCII is 0.
+    """
     return f"{job_id}/", f"{job_id}0"
 
 
-def _within(
-    pieces: dict[int, list[bytes]], after: int, max_bytes: int
+def _decode_consecutive(
+    chunks_by_position: dict[int, list[bytes]], start_position: int, max_bytes: int
 ) -> list[tuple[int, ItemResult]]:
+    """Decode results from ``start_position`` on, up to the first gap or ``max_bytes``."""
     found: list[tuple[int, ItemResult]] = []
     size = 0
-    for position in sorted(pieces):
-        value = b"".join(pieces[position])
+    for position in sorted(chunks_by_position):
+        value = b"".join(chunks_by_position[position])
         size += len(value)
         if found and size > max_bytes:
             break
-        if position != after + len(found):
+        if position != start_position + len(found):
             break
         found.append((position, decode_result(value)))
     return found
--- a/mountstand/jobs/service.py
+++ b/mountstand/jobs/service.py
@@ -1,7 +1,8 @@
-"""Batch jobs of one daemon: acceptance, ends, and which jobs this daemon runs.
+"""Accepts, runs, adopts and cancels batch jobs on one daemon.
 
-Every answer follows from the store, or from results that cannot change any more. Which daemon runs
-a job is decided by a conditional write of its head; liveness of owners only decides who tries.
+No response shows a result that is not committed in the store. A conditional write of the head
+decides which daemon owns a job. The liveness of owners, as seen by each daemon, only determines
+which daemons attempt that write.
 """
 
 from __future__ import annotations
@@ -10,70 +11,88 @@
 from collections.abc import Callable, Coroutine, Iterable
 from dataclasses import replace
 
-from mountstand.jobs.acceptance import JobAcceptance, Stored, SubmitOutcome
+from mountstand.jobs.acceptance import JobAcceptance, StoredJob, SubmitOutcome
 from mountstand.jobs.item_execution import RunnerContext
 from mountstand.jobs.model import JobHead, JobItem, JobSubmission, SavedProgress, decode_head
-from mountstand.jobs.owners import Owners
+from mountstand.jobs.owners import OwnershipRules
 from mountstand.jobs.quota import TokenQuota
-from mountstand.jobs.reading import ANY_TENANT, JobPage, JobReads, may_see
-from mountstand.jobs.repository import ACCEPTED_COPIES, JobRepository, new_write_id
+from mountstand.jobs.reading import ANY_TENANT, JobReader, ResultPage, is_visible_to_tenant
+from mountstand.jobs.repository import FALLBACK_OBJECT_COPIES, JobRepository, new_write_id
 from mountstand.jobs.runner import JobRunner
 from mountstand.serving.configuration import Route
 from mountstand.store.rows import Conflict, StoreError, StoreRefused
 from mountstand.store.watch import TableChange
 
-SCAN_S = 0.5
-"""How often a daemon looks for jobs without an owner."""
+ORPHAN_SCAN_INTERVAL_S = 0.5
+"""Interval at which a daemon looks for jobs without a live owner."""
 
-RANK_DELAY_S = 1.0
-"""A daemon waits so much longer per better-ranked daemon before it adopts a job."""
+ADOPTION_DELAY_PER_RANK_S = 1.0
+"""Delay before adopting a job, per daemon ranked before this one for it.
 
-OBJECT_SCAN_S = 3.0
-OBJECT_SCAN_KEY = "object scan"
-"""How often the daemon ranked first for the key looks for jobs that are kept as objects only."""
+It keeps daemons from competing for the same job.
+"""
+
+OBJECT_SCAN_INTERVAL_S = 3.0
+OBJECT_SCAN_RANK_KEY = "object scan"
+"""Interval and ranking key of the scan for jobs that are stored only as fallback objects.
 
-RETRY_S = 0.05
-"""How often a planned stop looks whether the last job is handed on."""
+Only the daemon that ranks first for the key scans.
+"""
+
+DRAIN_POLL_INTERVAL_S = 0.05
+"""Interval at which :meth:`JobService.drain` checks whether all runners have stopped."""
 
 
 class JobService:
-    """The batch jobs of one daemon."""
+    """Manages the batch jobs of one daemon.
+
+    ``retention_s_for`` returns the age since acceptance, in seconds, at which a job that is not
+    open is deleted.
+    """
 
     def __init__(
         self,
         context: RunnerContext,
-        owners: Owners,
+        owners: OwnershipRules,
         parse_document: Callable[[bytes], tuple[JobItem, ...]],
-        keep_s: Callable[[JobHead], float],
+        retention_s_for: Callable[[JobHead], float],
     ) -> None:
         self._context = context
         self._repository: JobRepository = context.repository
         self._owners = owners
-        self._keep_s = keep_s
+        self._retention_s_for = retention_s_for
         self._heads: dict[str, tuple[JobHead, int]] = {}
         self._runners: dict[str, JobRunner] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._adopting: set[str] = set()
-        self._orphan_since_s: dict[str, float] = {}
+        self._adopting_job_ids: set[str] = set()
+        self._orphaned_since_s_by_job_id: dict[str, float] = {}
         self._draining = False
         self._next_object_scan_s = 0.0
-        self._without_head: set[str] = set()
-        self._reads = JobReads(self._repository, parse_document, self._known, self._running)
+        self._previous_scan_job_ids: set[str] = set()
+        self._job_reader = JobReader(
+            self._repository, parse_document, self._cached_head, self._running_job
+        )
         self._quota = TokenQuota(
             context.repository.rows,
             lambda: [head for head, _ in self._heads.values()],
             context.configuration,
         )
 
-    # Callers' calls
+    # Operations for callers
 
     async def submit(
         self, submission: JobSubmission, route: Route, deadline_s: float
     ) -> SubmitOutcome:
-        """Take a job. Once a write may have reached the store, it is never called refused."""
-        known = self._known(submission.job_id)
-        if known is not None:
-            return _outcome_of_known(submission, known)
+        """Accept a job if it fits the tenant's quota of waiting tokens on the route, and run it.
+
+        Returns ``REFUSED`` only if no write of the job can have taken effect, and
+        ``OUTCOME_UNKNOWN`` if one may have or if the quota could not be checked. Returns
+        ``OVER_QUOTA`` for a new job that exceeds the quota. For an existing job, returns
+        ``ACCEPTED`` if the submitter's tenant may see it, otherwise ``ID_TAKEN``.
+        """
+        existing = self._cached_head(submission.job_id)
+        if existing is not None:
+            return _outcome_for_existing(submission, existing)
         try:
             head = self._new_head(submission)
         except StoreRefused:
@@ -82,82 +101,90 @@
             async with asyncio.timeout_at(deadline_s):
                 fits = await self._quota.reserve(route, submission, head.accepted_ms)
                 if not fits:
-                    return await self._refuse_unless_known(submission)
+                    return await self._refuse_unless_already_stored(submission)
             return await self._accept(submission, head, route, deadline_s)
-        except (StoreError, TimeoutError) as problem:
+        except (StoreError, TimeoutError) as error:
             self._context.log.event(
-                "quota_unsure", job=submission.job_id, cause=type(problem).__name__
+                "quota_unsure", job=submission.job_id, cause=type(error).__name__
             )
-            return SubmitOutcome.UNCLEAR
+            return SubmitOutcome.OUTCOME_UNKNOWN
         finally:
             self._quota.release(submission.job_id)
 
-    async def _refuse_unless_known(self, submission: JobSubmission) -> SubmitOutcome:
-        """Refuse a job that does not fit, unless another daemon took it: it is sent again then."""
-        found = await self._reads.load_any(submission.job_id)
+    async def _refuse_unless_already_stored(self, submission: JobSubmission) -> SubmitOutcome:
+        """Refuse a job that exceeds the quota, unless another daemon has already stored it."""
+        found = await self._job_reader.load_or_build_head(submission.job_id)
         return (
-            SubmitOutcome.OVER_QUOTA if found is None else _outcome_of_known(submission, found[0])
+            SubmitOutcome.OVER_QUOTA
+            if found is None
+            else _outcome_for_existing(submission, found[0])
         )
 
     async def _accept(
         self, submission: JobSubmission, head: JobHead, route: Route, deadline_s: float
     ) -> SubmitOutcome:
-        was_there = False
+        already_existed = False
 
-        def begin(stored: Stored) -> None:
-            nonlocal was_there
-            was_there = stored.begin is None
-            if stored.begin is not None:
-                self._begin(*stored.begin, submission.items)
+        def start_if_new(stored: StoredJob) -> None:
+            nonlocal already_existed
+            already_existed = stored.head_and_version is None
+            if stored.head_and_version is not None:
+                self._start_runner(*stored.head_and_version, submission.items)
 
-        copies = 0 if self._is_bound(route, submission.tenant) else ACCEPTED_COPIES
+        copies = 0 if self._is_region_bound(route, submission.tenant) else FALLBACK_OBJECT_COPIES
         acceptance = JobAcceptance(self._repository, submission, head, copies)
-        outcome = await acceptance.run(route.target_latency_s, deadline_s, begin)
-        if was_there and submission.tenant:
-            found = await self._reads.load_any(submission.job_id)
-            return outcome if found is None else _outcome_of_known(submission, found[0])
+        outcome = await acceptance.run(route.target_latency_s, deadline_s, start_if_new)
+        if already_existed and submission.tenant:
+            found = await self._job_reader.load_or_build_head(submission.job_id)
+            return outcome if found is None else _outcome_for_existing(submission, found[0])
         return outcome
 
     async def read(
         self,
         job_id: str,
-        after: int,
+        start_position: int,
         wait_s: float,
         max_bytes: int,
-        reader: str | None = ANY_TENANT,
-    ) -> JobPage | None:
-        """Return a page of results; see :meth:`JobReads.page`."""
-        return await self._reads.page(job_id, after, wait_s, max_bytes, reader)
+        reader_tenant: str | None = ANY_TENANT,
+    ) -> ResultPage | None:
+        """Return a page of results; see :meth:`JobReader.page`."""
+        return await self._job_reader.page(job_id, start_position, wait_s, max_bytes, reader_tenant)
 
     async def item_body(
-        self, job_id: str, item_id: str, reader: str | None = ANY_TENANT
+        self, job_id: str, item_id: str, reader_tenant: str | None = ANY_TENANT
     ) -> bytes | None:
-        """Return the body of an item; see :meth:`JobReads.item_body`."""
-        return await self._reads.item_body(job_id, item_id, reader)
+        """Return the body of an item; see :meth:`JobReader.item_body`."""
+        return await self._job_reader.item_body(job_id, item_id, reader_tenant)
+
+    async def cancel(self, job_id: str, reader_tenant: str | None = ANY_TENANT) -> bool:
+        """Cancel a job and return whether it exists and is visible to ``reader_tenant``.
 
-    async def end(self, job_id: str, reader: str | None = ANY_TENANT) -> bool:
-        """End a job; returns whether ``reader`` has one. Raises ``StoreError``."""
+        Results that are already listed stay readable. Cancelling a cancelled job succeeds. Raises
+        ``StoreError`` if the store cannot be read or written.
+        """
         while True:
-            found = await self._reads.load_any(job_id)
-            if found is None or not may_see(reader, found[0]):
+            found = await self._job_reader.load_or_build_head(job_id)
+            if found is None or not is_visible_to_tenant(reader_tenant, found[0]):
                 return False
             head, version = found
             if not head.ended:
-                ended = replace(head, ended=True, write_id=new_write_id())
+                cancelled = replace(head, ended=True, write_id=new_write_id())
                 try:
-                    version = await self._repository.change_head(ended, version)
+                    version = await self._repository.update_head(cancelled, version)
                 except Conflict:
                     continue
-                self._apply_head(ended, version)
+                self._apply_head(cancelled, version)
             return True
 
-    # The feed
+    # Change feed of the head table
 
     def apply(self, change: TableChange) -> None:
-        """Take changed heads, or with a complete change all of them."""
+        """Apply changed heads; a complete change replaces all cached heads."""
         if change.complete:
-            listed = {row.key.key for row in change.rows}
-            for job_id in [known for known in self._heads if known not in listed]:
+            present_job_ids = {row.key.key for row in change.rows}
+            for job_id in [
+                cached_id for cached_id in self._heads if cached_id not in present_job_ids
+            ]:
                 del self._heads[job_id]
         for row in change.rows:
             if row.value is None:
@@ -166,105 +193,119 @@
             self._apply_head(decode_head(row.key.key, row.value), row.version)
 
     def _apply_head(self, head: JobHead, version: int) -> None:
-        if version <= self._latest_version(head.job_id):
+        if version <= self._cached_version(head.job_id):
             return
         self._heads[head.job_id] = (head, version)
         runner = self._runners.get(head.job_id)
         if runner is not None:
             runner.handle_head(head, version)
-        self._reads.note_change(head.job_id)
-        if head.open and not head.owner:
-            self._consider(head, version)
+        self._job_reader.notify_change(head.job_id)
+        # Nobody owns the job, so its adoption need not wait for the next scan.
+        if head.is_open and not head.owner:
+            self._adopt_if_orphaned(head, version)
 
-    def _known(self, job_id: str) -> JobHead | None:
-        known = self._heads.get(job_id)
-        return known[0] if known is not None else None
+    def _cached_head(self, job_id: str) -> JobHead | None:
+        cached = self._heads.get(job_id)
+        return cached[0] if cached is not None else None
 
-    def _running(self, job_id: str) -> tuple[JobHead, tuple[JobItem, ...]] | None:
+    def _running_job(self, job_id: str) -> tuple[JobHead, tuple[JobItem, ...]] | None:
         runner = self._runners.get(job_id)
         return (runner.head, runner.items) if runner is not None else None
 
-    def _latest_version(self, job_id: str) -> int:
-        known = self._heads.get(job_id)
-        return known[1] if known is not None else 0
+    def _cached_version(self, job_id: str) -> int:
+        """Return the version of a job's cached head, or 0 (``ABSENT``) if none is cached."""
+        cached = self._heads.get(job_id)
+        return cached[1] if cached is not None else 0
 
     # Ownership
 
     async def run(self) -> None:
-        """Adopt jobs whose owner is gone, until cancelled."""
+        """Adopt jobs without a live owner and delete expired jobs, until cancelled."""
         while True:
-            await asyncio.sleep(SCAN_S)
+            await asyncio.sleep(ORPHAN_SCAN_INTERVAL_S)
             for head, version in list(self._heads.values()):
-                if head.open:
-                    self._consider(head, version)
+                if head.is_open:
+                    self._adopt_if_orphaned(head, version)
                 else:
-                    self._orphan_since_s.pop(head.job_id, None)
-                    await self._drop_old(head, version)
-            await self._adopt_kept_objects()
+                    self._orphaned_since_s_by_job_id.pop(head.job_id, None)
+                    await self._delete_if_expired(head, version)
+            await self._adopt_orphaned_objects()
             self._context.metrics.jobs_owned(len(self._runners))
 
-    async def _adopt_kept_objects(self) -> None:
-        """Give a head row to jobs that are kept as objects and whose daemon is gone.
+    async def _adopt_orphaned_objects(self) -> None:
+        """Adopt jobs that are stored only as fallback objects and whose daemon has gone.
 
-        One daemon looks at a time. A daemon that accepted a job writes its head row itself as soon
-        as the store takes it, long before the second look.
+        A live daemon that accepted such a job writes the head row as soon as the store accepts
+        writes. A job is therefore adopted only if two consecutive scans find it without a head row.
+        If the store fails, a later scan tries again.
         """
         now_s = asyncio.get_running_loop().time()
         if self._draining or now_s < self._next_object_scan_s:
             return
-        self._next_object_scan_s = now_s + OBJECT_SCAN_S
-        if self._owners.rank(OBJECT_SCAN_KEY):
+        self._next_object_scan_s = now_s + OBJECT_SCAN_INTERVAL_S
+        # A rank other than 0 means that another daemon ranks first and scans.
+        if self._owners.rank(OBJECT_SCAN_RANK_KEY):
             return
         try:
-            without_head = [
+            job_ids_without_head = [
                 job_id
-                for job_id in await self._repository.accepted_jobs()
-                if job_id not in self._heads and await self._repository.load(job_id) is None
+                for job_id in await self._repository.list_fallback_object_job_ids()
+                if job_id not in self._heads and await self._repository.load_head(job_id) is None
+            ]
+            confirmed_job_ids = [
+                job_id for job_id in job_ids_without_head if job_id in self._previous_scan_job_ids
             ]
-            seen_twice = [job_id for job_id in without_head if job_id in self._without_head]
-            self._without_head = set(without_head)
-            for job_id in seen_twice:
-                found = await self._reads.load_any(job_id)
+            self._previous_scan_job_ids = set(job_ids_without_head)
+            for job_id in confirmed_job_ids:
+                found = await self._job_reader.load_or_build_head(job_id)
                 if found is not None:
                     await self._adopt(*found)
         except StoreError:
             return
 
-    def _consider(self, head: JobHead, version: int) -> None:
+    def _adopt_if_orphaned(self, head: JobHead, version: int) -> None:
+        """Adopt an open job without a live owner, after a delay given by this daemon's rank.
+
+        A job that this process owns but does not run counts as orphaned. Its adoption may have
+        taken effect without a reply, or the saved progress could not be loaded.
+        """
         job_id = head.job_id
-        if self._draining or job_id in self._runners or job_id in self._adopting:
+        if self._draining or job_id in self._runners or job_id in self._adopting_job_ids:
             return
         if head.owner and head.owner != self._owners.own_token and self._owners.is_live(head.owner):
-            self._orphan_since_s.pop(job_id, None)
+            self._orphaned_since_s_by_job_id.pop(job_id, None)
             return
         configuration = self._context.configuration()
         if configuration is None:
             return
-        regions = configuration.regions_of_job(head.host, head.path, head.tenant)
+        regions = configuration.regions_for_job(head.host, head.path, head.tenant)
         if not self._owners.may_own(regions):
             return
         now_s = asyncio.get_running_loop().time()
-        since_s = self._orphan_since_s.setdefault(job_id, now_s)
-        if now_s - since_s < self._owners.rank(job_id, regions) * RANK_DELAY_S:
+        orphaned_since_s = self._orphaned_since_s_by_job_id.setdefault(job_id, now_s)
+        if (
+            now_s - orphaned_since_s
+            < self._owners.rank(job_id, regions) * ADOPTION_DELAY_PER_RANK_S
+        ):
             return
-        self._adopting.add(job_id)
+        self._adopting_job_ids.add(job_id)
         self._spawn(self._adopt(head, version))
 
     async def _adopt(self, head: JobHead, version: int) -> None:
         adopted = replace(head, owner=self._owners.own_token, write_id=new_write_id())
         try:
-            items = await self._reads.load_items(head)
+            items = await self._job_reader.load_items(head)
             if items is None:
                 return
-            version = await self._repository.change_head(adopted, version)
-            saved = await self._repository.progress(adopted)
-        except StoreError as problem:
+            version = await self._repository.update_head(adopted, version)
+            saved = await self._repository.load_progress(adopted)
+        except StoreError as error:
             self._context.log.event(
-                "adoption_failed", job=head.job_id, version=version, cause=type(problem).__name__
+                "adoption_failed", job=head.job_id, version=version, cause=type(error).__name__
             )
             return
         finally:
-            self._adopting.discard(head.job_id)
+            self._adopting_job_ids.discard(head.job_id)
         self._context.log.event(
             "job_adopted",
             job=head.job_id,
@@ -274,23 +315,26 @@
             items_with_progress=len(saved),
             version=version,
         )
-        self._begin(adopted, version, items, saved)
+        self._start_runner(adopted, version, items, saved)
 
-    def _begin(
+    def _start_runner(
         self,
         head: JobHead,
         version: int,
         items: tuple[JobItem, ...],
         saved: Iterable[SavedProgress] = (),
     ) -> None:
-        """Run a job here, unless it is being run here already."""
-        self._orphan_since_s.pop(head.job_id, None)
+        """Start a runner for a job, unless one exists or a newer head forbids it.
+
+        A newer head forbids it if it is not open or has another owner.
+        """
+        self._orphaned_since_s_by_job_id.pop(head.job_id, None)
         if head.job_id in self._runners:
             return
-        known = self._heads.get(head.job_id)
-        if known is not None and known[1] > version:
-            head, version = known
-            if not head.open or head.owner != self._owners.own_token:
+        cached = self._heads.get(head.job_id)
+        if cached is not None and cached[1] > version:
+            head, version = cached
+            if not head.is_open or head.owner != self._owners.own_token:
                 return
         self._heads[head.job_id] = (head, version)
         runner = JobRunner(self._context, head, version, items, saved)
@@ -307,19 +351,20 @@
                 del self._runners[runner.head.job_id]
 
     async def drain(self) -> None:
-        """Start no more items, and wait until every job here is finished or released."""
+        """Start no more items, and wait until every job run here is finished or released."""
         self._draining = True
         for runner in list(self._runners.values()):
             runner.drain()
         while self._runners:
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
 
-    # Small parts
+    # Helpers
 
-    def _is_bound(self, route: Route, tenant: str) -> bool:
-        """Return whether a job may be served in some regions alone.
+    def _is_region_bound(self, route: Route, tenant: str) -> bool:
+        """Return whether a job may be served only in some regions.
 
-        It is not kept as an object: whoever looks for such objects reads all of them.
+        Such a job gets no fallback objects, because the daemon that scans for them reads all of
+        them, whatever its region. Without a configuration, every job counts as region-bound.
         """
         configuration = self._context.configuration()
         return configuration is None or configuration.regions_for(route, tenant) is not None
@@ -337,13 +382,17 @@
             tenant=submission.tenant,
         )
 
-    async def _drop_old(self, head: JobHead, version: int) -> None:
-        """Remove a job that nobody may ask for any more."""
+    async def _delete_if_expired(self, head: JobHead, version: int) -> None:
+        """Delete a job past its retention time, if this daemon ranks first for it.
+
+        Callers may no longer ask for such a job. If the store fails or its clock is unknown, a
+        later scan tries again.
+        """
         try:
             age_s = (self._context.store_now_ms() - head.accepted_ms) / 1000
-            if age_s < self._keep_s(head) or self._owners.rank(head.job_id):
+            if age_s < self._retention_s_for(head) or self._owners.rank(head.job_id):
                 return
-            await self._repository.drop(head, version)
+            await self._repository.delete(head, version)
             self._context.log.event(
                 "job_dropped", job=head.job_id, age_s=round(age_s, 1), version=version
             )
@@ -356,8 +405,12 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def _outcome_of_known(submission: JobSubmission, known: JobHead) -> SubmitOutcome:
-    """Return the answer to a job that is there already: sent again, or another tenant's."""
-    if may_see(submission.tenant or ANY_TENANT, known):
+def _outcome_for_existing(submission: JobSubmission, existing: JobHead) -> SubmitOutcome:
+    """Return the outcome of submitting a job whose id exists already.
+
+    The submission is a retry if its tenant may see the existing job; otherwise the id is taken by
+    another tenant.
+    """
+    if is_visible_to_tenant(submission.tenant or ANY_TENANT, existing):
         return SubmitOutcome.ACCEPTED
     return SubmitOutcome.ID_TAKEN
--- a/mountstand/platform/ingress.py
+++ b/mountstand/platform/ingress.py
@@ -13,18 +13,18 @@
 from mountstand.errors import MountstandError
 from mountstand.jobs.acceptance import SubmitOutcome
 from mountstand.jobs.model import ItemResult, ItemState, JobItem, JobSubmission
-from mountstand.jobs.reading import ANY_TENANT, JobPage
+from mountstand.jobs.reading import ANY_TENANT, ResultPage
 from mountstand.platform import names
 from mountstand.platform.worker_protocol import parse_prompt
 from mountstand.serving.configuration import Configuration, RequestKind, Route
-from mountstand.serving.forwarder import RETRY_UNAVAILABLE_S
+from mountstand.serving.forwarder import RETRY_AFTER_UNAVAILABLE_S
 from mountstand.serving.worker_protocol import Call
 from mountstand.serving_node import ServingNode
 from mountstand.store.rows import StoreError
 from mountstand.tenants.errors import KeyNotVerifiable, TenantOverLimit, UnknownKey
 from mountstand.tenants.tenant import Tenant
 from mountstand.transport.headers import Header, number
-from mountstand.transport.responder import Responder, ServerRequest, refuse
+from mountstand.transport.responder import Responder, ServerRequest, reject
 
 MAX_ITEMS = 200
 MAX_PAGE_BYTES = 900_000
@@ -60,7 +60,7 @@
         """Answer the platform's own checks."""
         responder.send(200 if self._node.ready else 503)
 
-    async def handle_directory(self, request: ServerRequest, responder: Responder) -> None:
+    async def handle_address_lookup(self, request: ServerRequest, responder: Responder) -> None:
         """Tell a caller which addresses to use."""
         if request.path != names.RESOLVE_PATH:
             responder.send(404)
@@ -69,9 +69,11 @@
         zone = query.get(names.CALLER_ZONE, [""])[0]
         host = query.get(names.CALLER_HOST, [""])[0]
         configuration = self._node.configuration
-        addresses = self._node.callers.addresses(configuration, host, zone) if configuration else []
+        addresses = (
+            self._node.daemon_locator.addresses(configuration, host, zone) if configuration else []
+        )
         if not addresses:
-            refuse(responder, RETRY_UNAVAILABLE_S)
+            reject(responder, RETRY_AFTER_UNAVAILABLE_S)
             return
         ttl_s = min(RESOLVE_TTL_S, self._node.settings.resolve_ttl_max_s)
         answer = {"addresses": addresses, "ttl_s": ttl_s}
@@ -81,7 +83,7 @@
         """Route one request of a caller."""
         configuration = self._node.configuration
         if configuration is None:
-            refuse(responder, RETRY_UNAVAILABLE_S)
+            reject(responder, RETRY_AFTER_UNAVAILABLE_S)
             return
         try:
             await self._dispatch(configuration, request, responder)
@@ -159,7 +161,7 @@
             last_event_id=number(request.headers.get(names.LAST_EVENT_ID.lower())),
             tenant=tenant_name,
             tenant_weight=tenant.weight if tenant is not None else None,
-            priority=tenant.priority_before(route.priority) if tenant else route.priority,
+            priority=tenant.effective_priority(route.priority) if tenant else route.priority,
             regions=configuration.regions_for(route, tenant_name),
         )
         await self._node.forwarder.forward(
@@ -168,7 +170,7 @@
             responder,
             request.received_at_s,
             self._deadline_s(route, request),
-            lambda: self._node.access.give_back(tenant),
+            lambda: self._node.access.refund(tenant),
         )
 
     def _deadline_s(self, route: Route, request: ServerRequest) -> float:
@@ -208,9 +210,9 @@
         if outcome is SubmitOutcome.ACCEPTED:
             responder.send(202)
         elif outcome is SubmitOutcome.REFUSED:
-            refuse(responder, RETRY_UNAVAILABLE_S)
+            reject(responder, RETRY_AFTER_UNAVAILABLE_S)
         elif outcome is SubmitOutcome.OVER_QUOTA:
-            refuse(responder, RETRY_OVER_QUOTA_S, 429)
+            reject(responder, RETRY_OVER_QUOTA_S, 429)
         elif outcome is SubmitOutcome.ID_TAKEN:
             responder.send(409)
         else:
@@ -229,7 +231,7 @@
                 responder.send(405)
         except StoreError as problem:
             self._node.log.event("job_unsure", job=job_id, cause=type(problem).__name__)
-            refuse(responder, RETRY_UNAVAILABLE_S)
+            reject(responder, RETRY_AFTER_UNAVAILABLE_S)
 
     async def _read_job(
         self, job_id: str, request: ServerRequest, responder: Responder, reader: str | None
@@ -252,7 +254,7 @@
         deadline_s = asyncio.get_running_loop().time() + DELETE_TIMEOUT_S
         while True:
             try:
-                found = await self._node.jobs.end(job_id, reader)
+                found = await self._node.jobs.cancel(job_id, reader)
             except StoreError:
                 if asyncio.get_running_loop().time() > deadline_s:
                     raise
@@ -270,7 +272,7 @@
         try:
             body = await self._node.jobs.item_body(job_id, item_id, reader)
         except StoreError:
-            refuse(responder, RETRY_UNAVAILABLE_S)
+            reject(responder, RETRY_AFTER_UNAVAILABLE_S)
             return
         if body is None:
             responder.send(404)
@@ -283,7 +285,7 @@
     if denial.retry_after_s is None:
         responder.send(denial.http_status)
     else:
-        refuse(responder, denial.retry_after_s, denial.http_status)
+        reject(responder, denial.retry_after_s, denial.http_status)
 
 
 def parse_items(document: bytes) -> tuple[JobItem, ...]:
@@ -313,7 +315,7 @@
     )
 
 
-def encode_page(page: JobPage) -> bytes:
+def encode_page(page: ResultPage) -> bytes:
     """Return a page of results as callers read it."""
     return orjson.dumps(
         {
--- a/mountstand/platform/operator_rows.py
+++ b/mountstand/platform/operator_rows.py
@@ -7,7 +7,7 @@
 import orjson
 
 from mountstand.platform import names
-from mountstand.serving.cold_workers import ColdStart
+from mountstand.serving.cold_workers import ColdStartLimit
 from mountstand.serving.configuration import (
     Configuration,
     RequestKind,
@@ -55,12 +55,12 @@
 
 
 def _service(fields: dict[str, Any]) -> Service:
-    lasts_s = float(fields.get("cold_start_s") or 0)
+    duration_s = float(fields.get("cold_start_s") or 0)
     requests_per_s = float(fields.get("cold_per_s") or 0)
     return Service(
         fields["name"],
         int(fields.get("max_conns") or DEFAULT_CONNECTIONS),
-        ColdStart(lasts_s, requests_per_s) if requests_per_s > 0 else None,
+        ColdStartLimit(duration_s, requests_per_s) if requests_per_s > 0 else None,
     )
 
 
@@ -113,8 +113,8 @@
         slots=max(1, slots),
         draining=state == names.DRAINING,
         version=row.version,
-        born_ms=_field(fields, "born", int, 0),
-        cold_left_s=_field(fields, "cold_left_ms", (int, float), 0) / 1000,
+        started_at_ms=_field(fields, "born", int, 0),
+        cold_remaining_s=_field(fields, "cold_left_ms", (int, float), 0) / 1000,
     )
 
 
@@ -152,7 +152,7 @@
         priority=int(fields.get("priority") or 0),
         public=bool(fields.get("public")),
         regions=_regions(fields),
-        first_event_patience_s=_patience_s(fields),
+        caller_first_event_timeout_s=_patience_s(fields),
     )
 
 
--- a/mountstand/platform/store_client.py
+++ b/mountstand/platform/store_client.py
@@ -58,7 +58,7 @@
         )
         self._call_timeouts: dict[str, AdaptiveTimeout] = {}
 
-    def use_address(self, address: SocketAddress) -> None:
+    def set_address(self, address: SocketAddress) -> None:
         """Make further calls to ``address``."""
         if address != self._address:
             self._address = address
@@ -193,7 +193,7 @@
         now_s = asyncio.get_running_loop().time()
         while self._idle:
             connection = self._idle.pop()
-            if connection.open and connection.rested_s(now_s) < IDLE_S:
+            if connection.open and connection.idle_s(now_s) < IDLE_S:
                 return connection
             connection.close()
         try:
--- a/mountstand/routing/fleet_view.py
+++ b/mountstand/routing/fleet_view.py
@@ -1,6 +1,10 @@
-"""What one daemon knows of the workers: addresses, own work in flight, lagging load reports.
+"""One daemon's view of the workers: machines, its own requests in flight, and load reports.
 
-Pure state: the clock is handed in, and no I/O happens here. Not thread-safe; the owner locks.
+A worker is a machine whose role is not ``DAEMON``: an engine or an application. Its worker id is
+the machine id.
+
+This module performs no I/O and reads no clock: callers pass the current time. It is not
+thread-safe; :class:`mountstand.routing.router.Router` serializes access.
 """
 
 from __future__ import annotations
@@ -10,69 +14,89 @@
 from enum import Enum
 
 from mountstand.engines.port import LoadFigures, LoadReport
-from mountstand.routing.outliers import WorkerHealth, ejectable_count
+from mountstand.routing.outliers import WorkerHealth, max_excluded_count
 from mountstand.store.ports import Machine, MachineRole
 
 LOAD_REPORT_HALF_LIFE_S = 0.5
-"""Age at which a load report counts half; engine work turns over within about a second."""
+"""Age at which a load report has half weight.
+
+Most of an engine's requests complete within about a second.
+"""
 
 DEFAULT_SLOTS = 16
-"""Slots assumed of a worker that has not reported yet."""
+"""Slots assumed for a worker that has not reported its load yet."""
 
 
 class DispatchOutcome(Enum):
-    """How a dispatch ended, as evidence about the worker's health."""
+    """Result of a dispatch, as evidence about the worker's health.
+
+    Only ``SUCCESS`` and ``FAILED`` affect the worker's health.
+    """
 
     SUCCESS = "success"
     REFUSED = "refused"
+    """The reachable worker did not execute the request, for example because it is full."""
     FAILED = "failed"
     NEUTRAL = "neutral"
+    """The dispatch ended for a reason unrelated to the worker, such as a client disconnect."""
 
 
 @dataclass
 class WorkerState:
-    """One worker as this daemon sees it."""
+    """State of one worker as seen by this daemon.
+
+    ``in_flight`` and ``batch_in_flight`` count this daemon's own online and batch dispatches.
+    ``own_in_flight_at_report`` is ``in_flight`` when the latest load report arrived. The worker
+    gets no online request and no additional batch item before ``backoff_until_s``.
+    """
 
     machine: Machine
     in_flight: int = 0
     batch_in_flight: int = 0
     report: LoadReport | None = None
     report_time_s: float = 0.0
-    in_flight_at_report: int = 0
+    own_in_flight_at_report: int = 0
     health: WorkerHealth = field(default_factory=WorkerHealth)
     reported_leaving: bool = False
     drained: bool = False
-    refused_until_s: float = 0.0
+    backoff_until_s: float = 0.0
 
     @property
     def worker_id(self) -> str:
-        """The platform's id of the machine."""
+        """The machine id assigned by the platform."""
         return self.machine.machine_id
 
     @property
-    def leaving(self) -> bool:
-        """Whether the worker gets no new work, by whichever source says so first."""
+    def closed_to_new_work(self) -> bool:
+        """Whether the worker is leaving or drained.
+
+        A worker is leaving as soon as the machine list or its own load report says so.
+        """
         return self.machine.leaving or self.reported_leaving or self.drained
 
     @property
     def slots(self) -> int:
-        """Requests that the worker runs together."""
+        """Number of requests that the worker can run concurrently."""
         return self.report.slots if self.report else DEFAULT_SLOTS
 
     def estimated_load(self, now_s: float) -> float:
-        """Return online work over slots: own in flight plus others' by the aged report."""
-        others = 0.0
+        """Return the estimated number of online requests per slot.
+
+        Adds this daemon's requests in flight to those of other daemons. The latter are taken from
+        the latest load report and weighted down exponentially with its age.
+        """
+        others_online = 0.0
         if self.report is not None:
             age_s = max(0.0, now_s - self.report_time_s)
             weight = 0.5 ** (age_s / LOAD_REPORT_HALF_LIFE_S)
             online = self.report.running + self.report.waiting
             online -= self.report.running_batch + self.report.waiting_batch
-            others = max(0, online - self.in_flight_at_report) * weight
-        return (self.in_flight + others) / self.slots
+            others_online = max(0, online - self.own_in_flight_at_report) * weight
+        return (self.in_flight + others_online) / self.slots
 
 
 class FleetView:
-    """All workers that one daemon may dispatch to."""
+    """Registry of all workers that one daemon may dispatch to."""
 
     def __init__(self) -> None:
         self.workers: dict[str, WorkerState] = {}
@@ -81,7 +105,11 @@
         self._drained_zones: frozenset[str] = frozenset()
 
     def update_machines(self, machines: Iterable[Machine]) -> None:
-        """Take over the platform's list; what is known of workers that stay is kept."""
+        """Apply the platform's machine list.
+
+        A worker that remains listed keeps its state unless another process has taken over its
+        machine id.
+        """
         listed = {m.machine_id: m for m in machines if m.role is not MachineRole.DAEMON}
         for worker_id in list(self.workers):
             if worker_id not in listed:
@@ -98,10 +126,7 @@
             self._by_service.setdefault(worker.machine.service, []).append(worker)
 
     def set_drained(self, worker_ids: frozenset[str], zones: frozenset[str]) -> bool:
-        """Mark the workers that operators drain, one by one or with their zone.
-
-        Returns whether anything changed.
-        """
+        """Set the workers and zones that operators drain; return whether either set changed."""
         if (worker_ids, zones) == (self._drained_ids, self._drained_zones):
             return False
         self._drained_ids = worker_ids
@@ -111,30 +136,34 @@
         return True
 
     def _mark_drained(self, worker: WorkerState) -> None:
-        by_id = worker.worker_id in self._drained_ids
-        worker.drained = by_id or worker.machine.zone in self._drained_zones
+        drained_by_id = worker.worker_id in self._drained_ids
+        worker.drained = drained_by_id or worker.machine.zone in self._drained_zones
 
     def record_load(self, worker_id: str, report: LoadReport, now_s: float) -> None:
-        """Take a load report as of ``now_s``."""
+        """Store a load report received at ``now_s``; ignore reports from unknown workers."""
         worker = self.workers.get(worker_id)
         if worker is None:
             return
         worker.report = report
         worker.report_time_s = now_s
-        worker.in_flight_at_report = worker.in_flight
+        worker.own_in_flight_at_report = worker.in_flight
         worker.reported_leaving = report.leaving
 
-    def record_figures(self, worker_id: str, figures: LoadFigures, now_s: float) -> None:
-        """Take the load that came with an answer; it is fresher than any polled report."""
+    def record_response_load(self, worker_id: str, load: LoadFigures, now_s: float) -> None:
+        """Update the latest load report with the load that accompanied a response.
+
+        A response's load is fresher than any polled report. It is ignored before the first polled
+        report, because it lacks the worker's models, which only a polled report carries.
+        """
         worker = self.workers.get(worker_id)
         if worker is None or worker.report is None:
             return
-        worker.report = replace(worker.report, **figures.__dict__)
+        worker.report = replace(worker.report, **load.__dict__)
         worker.report_time_s = now_s
-        worker.in_flight_at_report = worker.in_flight
+        worker.own_in_flight_at_report = worker.in_flight
 
-    def begin_dispatch(self, worker_id: str, *, batch: bool = False) -> None:
-        """Count a dispatch to a worker."""
+    def record_dispatch_start(self, worker_id: str, *, batch: bool = False) -> None:
+        """Count a dispatch as in flight."""
         worker = self.workers.get(worker_id)
         if worker is None:
             return
@@ -143,10 +172,13 @@
         else:
             worker.in_flight += 1
 
-    def end_dispatch(
+    def record_dispatch_end(
         self, worker_id: str, outcome: DispatchOutcome, now_s: float, *, batch: bool = False
     ) -> None:
-        """Count the end of a dispatch and learn from its outcome."""
+        """Remove a dispatch from the in-flight count.
+
+        ``SUCCESS`` and ``FAILED`` also count towards the worker's health.
+        """
         worker = self.workers.get(worker_id)
         if worker is None:
             return
@@ -159,39 +191,50 @@
         elif outcome is DispatchOutcome.FAILED:
             worker.health.record_failure(now_s)
 
-    def refuse_until(self, worker_id: str, until_s: float) -> None:
-        """Note that a worker refused and when it may be asked again."""
+    def set_backoff(self, worker_id: str, until_s: float) -> None:
+        """Exclude a worker that refused a request from dispatches until ``until_s``."""
         worker = self.workers.get(worker_id)
         if worker is not None:
-            worker.refused_until_s = until_s
+            worker.backoff_until_s = until_s
 
     def services(self) -> set[str]:
-        """Return the services that some worker serves."""
+        """Return the services that have at least one worker."""
         return set(self._by_service)
 
     def models(self) -> dict[str, str]:
-        """Return each model loaded anywhere with the service that has it."""
-        found: dict[str, str] = {}
+        """Map each model name to a service whose engines have it loaded.
+
+        Each engine service's own name is also a key. It maps to that service unless a model has the
+        same name.
+        """
+        service_by_model: dict[str, str] = {}
         for worker in self.workers.values():
             if worker.machine.role is not MachineRole.ENGINE:
                 continue
             for model in worker.report.models if worker.report else ():
-                found[model] = worker.machine.service
-            found.setdefault(worker.machine.service, worker.machine.service)
-        return found
+                service_by_model[model] = worker.machine.service
+            service_by_model.setdefault(worker.machine.service, worker.machine.service)
+        return service_by_model
 
     def candidates(self, service: str, now_s: float) -> list[WorkerState]:
-        """Return the workers of ``service`` that may get new work, worst ejected left out."""
-        serving = [w for w in self._by_service.get(service, []) if not w.leaving]
-        ejected = [worker for worker in serving if worker.health.is_ejected(now_s)]
+        """Return the workers of ``service`` that are neither leaving, drained nor ejected.
+
+        At most ``MAX_EJECTED_FRACTION`` of the available workers are omitted as ejected. Beyond
+        that, the ejected workers whose ejection ends soonest are returned too. Backoff is not
+        considered: callers check ``backoff_until_s``.
+        """
+        available = [w for w in self._by_service.get(service, []) if not w.closed_to_new_work]
+        ejected = [worker for worker in available if worker.health.is_ejected(now_s)]
         ejected.sort(key=lambda worker: -worker.health.ejected_until_s)
-        removed = {worker.worker_id for worker in ejected[: ejectable_count(len(serving))]}
-        return [worker for worker in serving if worker.worker_id not in removed]
+        excluded_ids = {
+            worker.worker_id for worker in ejected[: max_excluded_count(len(available))]
+        }
+        return [worker for worker in available if worker.worker_id not in excluded_ids]
 
 
-def is_replaced(known: Machine, listed: Machine) -> bool:
-    """Return whether a machine id now stands for another process."""
-    return (known.address, known.port, known.service) != (
+def is_replaced(previous: Machine, listed: Machine) -> bool:
+    """Return whether a machine id now identifies another process."""
+    return (previous.address, previous.port, previous.service) != (
         listed.address,
         listed.port,
         listed.service,
--- a/mountstand/routing/outliers.py
+++ b/mountstand/routing/outliers.py
@@ -1,51 +1,67 @@
-"""Ejection of workers that fail: a daemon's own evidence, with a cap on the ejected share."""
+"""Outlier detection: ejects workers that keep failing.
+
+Each daemon decides from the failures that it observes itself. Any number of workers can be ejected
+at once, but :meth:`mountstand.routing.fleet_view.FleetView.candidates` leaves out only a limited
+fraction of them. Batch dispatch skips every ejected worker.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-FAILURES_TO_EJECT = 3
-"""Failures in a row, so that one broken exchange does not remove a worker."""
+CONSECUTIVE_FAILURES_TO_EJECT = 3
+"""Above one, so that a single failed request does not eject a worker."""
+
+BASE_EJECTION_S = 1.0
+"""Duration of the first ejection after a success; it doubles up to ``MAX_EJECTION_S``."""
+
+MAX_EJECTION_S = 30.0
+
+MAX_EJECTED_FRACTION = 0.5
+"""Largest fraction of a service's available workers that is left out as ejected.
 
-FIRST_EJECTION_S = 1.0
-LONGEST_EJECTION_S = 30.0
-MAX_EJECTED_SHARE = 0.5
-"""Past this share failures are likely to be the daemon's or the network's own."""
+If more of them fail, the cause is probably this daemon or its network.
+"""
 
 
 @dataclass
 class WorkerHealth:
-    """What one daemon has seen of one worker."""
+    """Failure and ejection state of one worker, as observed by one daemon."""
 
-    failures_in_row: int = 0
-    ejections: int = 0
+    consecutive_failures: int = 0
+    consecutive_ejections: int = 0
     ejected_until_s: float = 0.0
 
     def record_success(self) -> None:
-        """Forget earlier failures."""
-        self.failures_in_row = 0
-        self.ejections = 0
+        """Reset the failure and ejection state."""
+        self.consecutive_failures = 0
+        self.consecutive_ejections = 0
         self.ejected_until_s = 0.0
 
     def record_failure(self, now_s: float) -> None:
-        """Count a failure; eject for twice as long each time.
+        """Count a failure and eject the worker if it has failed too often in succession.
 
-        Failures of one outage that are seen during the ejection do not lengthen it.
+        Each ejection since the last success lasts twice as long as the previous one, up to
+        ``MAX_EJECTION_S``, and after the first a single failure is enough. Failures during an
+        ejection are ignored, since they may stem from the same outage.
         """
         if self.is_ejected(now_s):
             return
-        self.failures_in_row += 1
-        if self.failures_in_row < FAILURES_TO_EJECT and self.ejections == 0:
+        self.consecutive_failures += 1
+        if (
+            self.consecutive_failures < CONSECUTIVE_FAILURES_TO_EJECT
+            and self.consecutive_ejections == 0
+        ):
             return
-        duration_s = min(LONGEST_EJECTION_S, FIRST_EJECTION_S * 2**self.ejections)
-        self.ejections += 1
+        duration_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**self.consecutive_ejections)
+        self.consecutive_ejections += 1
         self.ejected_until_s = now_s + duration_s
 
     def is_ejected(self, now_s: float) -> bool:
-        """Return whether the worker should get no ordinary traffic now."""
+        """Return whether the worker is ejected at ``now_s``."""
         return now_s < self.ejected_until_s
 
 
-def ejectable_count(workers: int) -> int:
-    """Return how many of ``workers`` may be ejected at once."""
-    return int(workers * MAX_EJECTED_SHARE)
+def max_excluded_count(worker_count: int) -> int:
+    """Return how many of ``worker_count`` available workers may be left out as ejected."""
+    return int(worker_count * MAX_EJECTED_FRACTION)
--- a/mountstand/routing/prefix_index.py
+++ b/mountstand/routing/prefix_index.py
@@ -1,51 +1,60 @@
-"""Which worker probably holds which prompt prefix, from own dispatches and cache events."""
+"""Index of the prompt prefixes that workers have cached.
+
+Built from this daemon's own dispatches and from the engines' cache events.
+"""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
 MAX_TRACKED_BLOCKS = 100_000
-"""Bounds memory to about 20 MB; the least recently used blocks are forgotten."""
+"""Limits the index to about 20 MB; the least recently stored entries are dropped first."""
 
 MAX_HASHED_BLOCKS = 32
-"""Prefix blocks considered per prompt; longer matches change the choice very little."""
+"""Leading blocks that the HTTP layer hashes per prompt; longer matches rarely change the choice."""
 
 
 class PrefixIndex:
-    """Map of prefix block to the workers believed to hold it.
+    """Maps prefix blocks to the workers that probably have them cached.
+
+    Blocks are identified by their hashes.
 
-    Events arrive late and with gaps, so the index is a hint: a wrong entry costs a cache miss.
+    Cache events arrive late and some are lost, so entries may be wrong. A wrong entry only costs a
+    cache miss. Not thread-safe.
     """
 
     def __init__(self, capacity_blocks: int = MAX_TRACKED_BLOCKS) -> None:
         self._capacity_blocks = capacity_blocks
         self._holders: OrderedDict[str, set[str]] = OrderedDict()
 
-    def record_stored(self, block: str, worker_id: str) -> None:
-        """Note that ``worker_id`` holds ``block``."""
-        self._holders.setdefault(block, set()).add(worker_id)
-        self._holders.move_to_end(block)
+    def record_stored(self, block_hash: str, worker_id: str) -> None:
+        """Record that ``worker_id`` has the block cached."""
+        self._holders.setdefault(block_hash, set()).add(worker_id)
+        self._holders.move_to_end(block_hash)
         while len(self._holders) > self._capacity_blocks:
             self._holders.popitem(last=False)
 
-    def record_evicted(self, block: str, worker_id: str) -> None:
-        """Note that ``worker_id`` dropped ``block``."""
-        holders = self._holders.get(block)
+    def record_evicted(self, block_hash: str, worker_id: str) -> None:
+        """Record that ``worker_id`` has evicted the block from its cache."""
+        holders = self._holders.get(block_hash)
         if holders is None:
             return
         holders.discard(worker_id)
         if not holders:
-            del self._holders[block]
-
-    def matched_blocks(self, blocks: list[str]) -> dict[str, int]:
-        """Return, by worker, how many leading ``blocks`` it is believed to hold."""
-        matched: dict[str, int] = {}
-        holding: set[str] | None = None
-        for depth, block in enumerate(blocks, start=1):
-            holders = self._holders.get(block, set())
-            holding = holders if holding is None else holding & holders
-            if not holding:
+            del self._holders[block_hash]
+
+    def matched_block_counts(self, block_hashes: list[str]) -> dict[str, int]:
+        """Map each worker id to the number of leading blocks that it probably holds.
+
+        Workers without the first block are omitted.
+        """
+        matched_counts: dict[str, int] = {}
+        common_holders: set[str] | None = None
+        for depth, block_hash in enumerate(block_hashes, start=1):
+            holders = self._holders.get(block_hash, set())
+            common_holders = holders if common_holders is None else common_holders & holders
+            if not common_holders:
                 break
-            for worker_id in holding:
-                matched[worker_id] = depth
-        return matched
+            for worker_id in common_holders:
+                matched_counts[worker_id] = depth
+        return matched_counts
--- a/tests/unit/test_worker_rows.py
+++ b/tests/unit/test_worker_rows.py
@@ -8,8 +8,8 @@
 from testtools import TestCase
 
 from mountstand.platform.operator_rows import decode_configuration, decode_worker, evacuated_zone
-from mountstand.serving.cold_workers import ColdStart
-from mountstand.serving.feeds import UNREADABLE
+from mountstand.serving.cold_workers import ColdStartLimit
+from mountstand.serving.feeds import DECODE_ERRORS
 from mountstand.store.rows import RowKey, StoredRow
 
 GOOD: dict[str, Any] = {
@@ -33,13 +33,13 @@
     def test_all_fields(self) -> None:
         record = decode_worker(row(orjson.dumps(GOOD)))
         self.assertEqual(("llm", "10.1.2.3", 8080), (record.service, record.host, record.port))
-        self.assertEqual((1_790_000_000_000, 1.5), (record.born_ms, record.cold_left_s))
+        self.assertEqual((1_790_000_000_000, 1.5), (record.started_at_ms, record.cold_remaining_s))
         self.assertFalse(record.draining)
 
     def test_older_workers_tell_neither_birth_nor_cold(self) -> None:
         fields = {k: v for k, v in GOOD.items() if k not in ("born", "cold_left_ms")}
         record = decode_worker(row(orjson.dumps(fields)))
-        self.assertEqual((0, 0.0), (record.born_ms, record.cold_left_s))
+        self.assertEqual((0, 0.0), (record.started_at_ms, record.cold_remaining_s))
 
     def test_rows_of_another_form_name_no_worker(self) -> None:
         changes: list[dict[str, Any]] = [
@@ -73,7 +73,7 @@
     def assert_unreadable(self, value: bytes) -> None:
         try:
             decode_worker(row(value))
-        except UNREADABLE:
+        except DECODE_ERRORS:
             return
         self.fail(f"was read: {value!r}")
 
@@ -87,8 +87,10 @@
         ]
         value = orjson.dumps({"version": 1, "routes": [], "services": services})
         found = decode_configuration(value).services
-        self.assertEqual(ColdStart(3.0, 22.0), found["llm"].cold)
-        self.assertEqual((None, None), (found["app"].cold, found["old"].cold))
+        self.assertEqual(ColdStartLimit(3.0, 22.0), found["llm"].cold_start_limit)
+        self.assertEqual(
+            (None, None), (found["app"].cold_start_limit, found["old"].cold_start_limit)
+        )
 
     def test_rows_that_evacuate_a_zone(self) -> None:
         self.assertEqual("zone-a", evacuated_zone("evacuate/zone-a"))
